--- a/gaprock/test/gatewayfleet.py
+++ b/gaprock/test/gatewayfleet.py
@@ -6,7 +6,7 @@
 import typing
 
 from gaprock import gateway_node, options
-from gaprock.test import gatewaysite
+from gaprock.test import gatewaysite, ports
 
 # Beats of every other gateway after which one has what they knew before.
 TELLING_BEATS: typing.Final = 3
@@ -30,8 +30,8 @@
     def _make(self, number: int) -> gateway_node.Gateway:
         cfg = options.Options()
         cfg.vm, cfg.hall, cfg.host = f"gateway-{number}", f"h{number}", "127.0.0.1"
-        cfg.listen = f"127.0.0.1:{gatewaysite.free_port()}"
-        cfg.ready_listen = f"127.0.0.1:{gatewaysite.free_port()}"
+        cfg.listen = f"127.0.0.1:{ports.free_port()}"
+        cfg.ready_listen = f"127.0.0.1:{ports.free_port()}"
         cfg.store_address = self.site.cfg.store_address
         cfg.metrics_port, cfg.max_calls = 0, 32
         cfg.bounds.budget_allowance = 50
@@ -107,4 +107,4 @@
 
 def with_mesh(cfg: options.Options) -> None:
     """Have a gateway talk to others."""
-    cfg.mesh_port = gatewaysite.free_port()
+    cfg.mesh_port = ports.free_port()
--- a/gaprock/test/gatewaysite.py
+++ b/gaprock/test/gatewaysite.py
@@ -7,7 +7,7 @@
 import uuid
 
 from gaprock import clock, eventlog, gateway_api, gateway_node, options, plugin
-from gaprock.test import site
+from gaprock.test import ports, site
 from gaprock.test.fakes import backend, metastore
 
 KEY: typing.Final = "key-of-ws"
@@ -18,12 +18,6 @@
 wait_until = site.wait_until
 
 
-def free_port() -> int:
-    """Give a port that is free now."""
-    with socket.create_server(("127.0.0.1", 0)) as sock:
-        return int(sock.getsockname()[1])
-
-
 def route(prefix: str, kind: str, service: str, **more: object) -> dict[str, object]:
     """Write a route of the configuration."""
     return {
@@ -100,9 +94,9 @@
         self.backends: dict[str, backend.Backend] = {}
         cfg = options.Options()
         cfg.vm, cfg.hall, cfg.host = "gateway-1", "h1", "127.0.0.1"
-        cfg.listen = f"127.0.0.1:{free_port()}"
-        cfg.ready_listen = f"127.0.0.1:{free_port()}"
-        cfg.metrics_port = free_port()
+        cfg.listen = f"127.0.0.1:{ports.free_port()}"
+        cfg.ready_listen = f"127.0.0.1:{ports.free_port()}"
+        cfg.metrics_port = ports.free_port()
         cfg.store_address = f"127.0.0.1:{self.store.port}"
         cfg.max_calls = 32
         cfg.bounds.budget_allowance = 50
--- a/gaprock/test/poisoncase.py
+++ b/gaprock/test/poisoncase.py
@@ -9,7 +9,7 @@
 import time
 import typing
 
-from gaprock.test import gatewayfleet, gatewaysite
+from gaprock.test import gatewayfleet, gatewaysite, ports
 from gaprock.test.fakes import backend
 
 POISON: typing.Final = b"the body that ends whatever runs it"
@@ -34,7 +34,7 @@
         self._stopped = threading.Event()
         self._restarts: list[threading.Thread] = []
         for _ in range(ENDPOINTS):
-            self._start(0)
+            self._start(ports.free_port())
 
     def close(self) -> None:
         """Start no endpoint again."""
--- a/gaprock/test/processes.py
+++ b/gaprock/test/processes.py
@@ -5,7 +5,6 @@
 import os
 import pathlib
 import signal
-import socket
 import subprocess
 import sys
 import time
@@ -13,6 +12,8 @@
 
 import urllib3
 
+from gaprock.test import ports
+
 CALLER_KEY: typing.Final = "a-caller-key"
 OPERATOR_KEY: typing.Final = "an-operator-key"
 SESSION_KEY: typing.Final = "a-session-key-of-the-site"
@@ -28,13 +29,6 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def free_port() -> int:
-    """Find a free port."""
-    with socket.socket() as sock:
-        sock.bind(("127.0.0.1", 0))
-        return int(sock.getsockname()[1])
-
-
 def wait_until(check: typing.Callable[[], object], what: str) -> None:
     """Wait for a condition, a bounded time."""
     deadline = time.monotonic() + WAIT_S
@@ -102,7 +96,7 @@
         if service:
             url = self.start_fake(f"service-{name}", "engine", "--versions", "")
             endpoints += f",scores={url};kind=service;versions=scores@1"
-        port = free_port()
+        port = ports.free_port()
         self.run(
             name,
             "gaprock.agent_main",
@@ -118,7 +112,7 @@
 
     def start_entry(self, name: str, *flags: str, scheme: str = "http") -> str:
         """Start an entry and give its address."""
-        port = free_port()
+        port = ports.free_port()
         self.urls[name] = f"{scheme}://127.0.0.1:{port}"
         self.run(
             name,
--- a/gaprock/test/soak_fleet.py
+++ b/gaprock/test/soak_fleet.py
@@ -17,7 +17,7 @@
 import time
 import typing
 
-from gaprock.test import gatewaysite, soak_ledger
+from gaprock.test import gatewaysite, ports, soak_ledger
 from gaprock.test.fakes import backend, cutproxy, metastore
 
 DRAIN_S: typing.Final = 2.0
@@ -221,9 +221,9 @@
         self.life = 0
         self.store_relay = cutproxy.CutProxy(store_port)
         self._logs = logs
-        self.port = gatewaysite.free_port()
-        self.ready_port = gatewaysite.free_port()
-        self.mesh_port = gatewaysite.free_port()
+        self.port = ports.free_port()
+        self.ready_port = ports.free_port()
+        self.mesh_port = ports.free_port()
         self.process: subprocess.Popen[bytes] | None = None
         # Held while the process is stopped and started.
         self.lock = threading.Lock()
--- a/gaprock/test/testfleet.py
+++ b/gaprock/test/testfleet.py
@@ -20,7 +20,7 @@
     row_exchange,
 )
 from gaprock.platform import store
-from gaprock.test import gatewaysite, rolloutcase, rowcase
+from gaprock.test import gatewaysite, ports, rolloutcase, rowcase
 from gaprock.test.fakes import cutproxy, metastore
 
 
@@ -258,7 +258,7 @@
     context = zmq.Context()
     try:
         for _ in range(2):
-            case.mesh._add(context, f"tcp://127.0.0.1:{gatewaysite.free_port()}")
+            case.mesh._add(context, f"tcp://127.0.0.1:{ports.free_port()}")
         heard, _ = case.mesh._peers
         beat = mesh_messages.Beat(
             "peer", "h2", heard, "i", [], True, {}, [], [], [], [], False
--- a/gaprock/test/testfreshness.py
+++ b/gaprock/test/testfreshness.py
@@ -15,7 +15,7 @@
     mesh_peers,
     options,
 )
-from gaprock.test import gatewaysite, rolloutcase, rowcase
+from gaprock.test import gatewaysite, ports, rolloutcase, rowcase
 from gaprock.test.fakes import httpfake, metastore
 
 
@@ -212,7 +212,7 @@
 
 def test_a_gateway_whose_announcement_was_not_answered_makes_it_again() -> None:
     def with_mesh(cfg: options.Options) -> None:
-        cfg.mesh_port = gatewaysite.free_port()
+        cfg.mesh_port = ports.free_port()
 
     with gatewaysite.GatewaySite(with_mesh) as one:
         one.store.faults["refuse_tx"] = 2
--- a/gaprock/test/testgatewaystops.py
+++ b/gaprock/test/testgatewaystops.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gaprock import gateway_http, gateway_node, gateway_serve, options
-from gaprock.test import gatewaysite
+from gaprock.test import gatewaysite, ports
 from gaprock.test import site as site_module
 from gaprock.test.fakes import backend
 
@@ -162,7 +162,7 @@
 
 def test_two_gateways_find_each_other_and_tell_their_loads() -> None:
     def with_mesh(cfg: options.Options) -> None:
-        cfg.mesh_port = gatewaysite.free_port()
+        cfg.mesh_port = ports.free_port()
 
     with gatewaysite.GatewaySite(with_mesh) as first, contextlib.ExitStack() as stack:
         second = gateway_node.Gateway(
@@ -186,7 +186,7 @@
 
 def test_gateways_that_rest_get_the_configuration_from_readers() -> None:
     def with_mesh(cfg: options.Options) -> None:
-        cfg.mesh_port = gatewaysite.free_port()
+        cfg.mesh_port = ports.free_port()
 
     with gatewaysite.GatewaySite(with_mesh) as first, contextlib.ExitStack() as stack:
         others = [
@@ -229,10 +229,10 @@
 ) -> options.Options:
     other = options.Options()
     other.vm, other.hall, other.host = name, hall, cfg.host
-    other.listen = f"127.0.0.1:{gatewaysite.free_port()}"
-    other.ready_listen = f"127.0.0.1:{gatewaysite.free_port()}"
+    other.listen = f"127.0.0.1:{ports.free_port()}"
+    other.ready_listen = f"127.0.0.1:{ports.free_port()}"
     other.store_address = cfg.store_address
-    other.mesh_port = gatewaysite.free_port()
+    other.mesh_port = ports.free_port()
     other.metrics_port = 0
     other.max_calls = 8
     return other
--- a/gaprock/test/testsuspended.py
+++ b/gaprock/test/testsuspended.py
@@ -21,7 +21,7 @@
     messages,
     options,
 )
-from gaprock.test import gatewaysite
+from gaprock.test import gatewaysite, ports
 from gaprock.test import site as site_module
 from gaprock.test.fakes import backend
 
@@ -163,7 +163,7 @@
 
 def test_peers_and_endpoints_marks_are_as_old_as_they_are(hands: Hands) -> None:
     def with_mesh(cfg: options.Options) -> None:
-        cfg.mesh_port = gatewaysite.free_port()
+        cfg.mesh_port = ports.free_port()
 
     with gatewaysite.GatewaySite(with_mesh) as site:
         mesh_ = site.gateway.mesh
