--- a/bench/cascade.py
+++ b/bench/cascade.py
@@ -36,7 +36,7 @@
     """Whether requests can climb, and the share of answers that get a rating."""
 
     name: str
-    can_climb: bool
+    can_escalate: bool
     rated: float
 
 
@@ -79,7 +79,7 @@
 ) -> tuple[float, bool]:
     """Serve one request; give its cost and whether its answer is good."""
     costs = {c.version: c.cost for c in template.versions}
-    choice = cascade.choose(template, list(costs), case.can_climb)
+    choice = cascade.choose(template, list(costs), case.can_escalate)
     assert choice is not None
     cost = 0.0
     for version in choice.versions:
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -190,7 +190,7 @@
                 )
                 for life, count in total.items()
             }
-            gateway.directory.take_loads("others", others)
+            gateway.directory.apply_peer_loads("others", others)
 
     def _ask(self, now: float) -> None:
         gateway = self.rng.choice(self.gateways)
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -54,7 +54,7 @@
 
     __slots__ = ()
 
-    def _others(self, life: str) -> list[rate_pacing.Claim]:
+    def _others(self, incarnation: str) -> list[rate_pacing.Claim]:
         return []
 
 
@@ -180,7 +180,7 @@
         if gateway.talks:
             for other in near:
                 if other.talks:
-                    other.pacer.take_news(gateway.name, 1, news)
+                    other.pacer.record_news(gateway.name, 1, news)
         if again:
             pause_s = mesh_peers.near_pause(len(near))
             self.at(self.time.now() + pause_s, lambda: self._tell(gateway))
@@ -191,7 +191,7 @@
         age_s = self.rng.uniform(*FAR_S)
         if near:
             own, *others = [g.pacer.news() for g in near]
-            summary = mesh_halls.sum_wanted(own, others)
+            summary = mesh_halls.sum_wanted_rates(own, others)
             members = len(near)
             for other in self.gateways:
                 if other.hall != hall:
@@ -210,7 +210,7 @@
         age_s: float,
     ) -> None:
         if gateway.talks:
-            gateway.pacer.take_news(f"hall {hall}", members, summary, age_s)
+            gateway.pacer.record_news(f"hall {hall}", members, summary, age_s)
 
 
 def main() -> None:
--- a/bench/marks.py
+++ b/bench/marks.py
@@ -4,7 +4,7 @@
 import timeit
 import typing
 
-from gaprock import clock, quarantine, request_mark
+from gaprock import clock, quarantine, request_fingerprint
 
 SIZES: typing.Final = (0, 1_000, 1_000_000)
 REPEATS: typing.Final = 5
@@ -22,7 +22,7 @@
     for size in SIZES:
         body = b"x" * size
         took = best_us(
-            lambda: request_mark.mark_of("ws", "host", "/path/x", body),
+            lambda: request_fingerprint.fingerprint_of("ws", "host", "/path/x", body),
             50 if size > 10_000 else 5_000,
         )
         print(f"mark of a body of {size} bytes: {took:.1f} us")
@@ -34,9 +34,12 @@
     for mark in range(quarantine.MAX_MARKS):
         full.note(mark, "a", quarantine.OPEN_WEIGHT)
     number = quarantine.MAX_MARKS
-    print(f"looked up among {number}: {best_us(lambda: full.holds(7), 20000):.3f} us")
     print(
-        f"suspected among {number}: {best_us(lambda: full.suspects(7), 20000):.3f} us"
+        f"looked up among {number}: {best_us(lambda: full.held_for_s(7), 20000):.3f} us"
+    )
+    print(
+        f"suspected among {number}: "
+        f"{best_us(lambda: full.is_suspected(7), 20000):.3f} us"
     )
 
 
--- a/bench/placing_player.py
+++ b/bench/placing_player.py
@@ -162,11 +162,11 @@
         if len(self.running) >= self._player.site.slots:
             return
         send = self._waiting.popleft()
-        marks = send.attempt.prompt.marks
-        tokens = max(0, send.job.tokens - self._cache.kept(marks))
+        hashes = send.attempt.prompt.hashes
+        tokens = max(0, send.job.tokens - self._cache.cached(hashes))
         weight = dict((name, cost) for name, cost, _ in MODELS)[send.model]
         seconds = weight * tokens / self._player.site.tokens_per_s + 0.005
-        self._cache.use(marks, self._player.site.memory)
+        self._cache.use(hashes, self._player.site.memory)
         self._is_reading = True
         for other in self.running:
             other.slow(seconds)
@@ -270,7 +270,7 @@
         job, gateway = self.job, self.job.gateway
         self.attempt.head = self._head()
         self.attempt.note_read(gateway.directory)
-        gateway.models.note_first(job.call, self.attempt)
+        gateway.models.record_first(job.call, self.attempt)
         larger = gateway.models.larger(job.call, self.attempt)
         if larger:
             self.attempt.finish(gateway.directory)
@@ -346,8 +346,8 @@
         self._told, prompts = self.directory.prompts_since(self._told)
         loads = self.directory.own_loads()
         for other in others:
-            other.directory.take_loads(self.name, loads)
-            other.directory.take_prompts(prompts)
+            other.directory.apply_peer_loads(self.name, loads)
+            other.directory.apply_peer_prompts(prompts)
 
 
 class Player:
@@ -400,7 +400,7 @@
         kinds = self.site.kinds
         kind = self.rng.choices(kinds, [kind.share for kind in kinds])[0]
         gateway = self.rng.choice(self.gateways)
-        gateway.budget.note_first(SERVICE, self.time.now())
+        gateway.budget.record_first(SERVICE, self.time.now())
         Job(self, kind, gateway, next(self._jobs)).start()
         since, until, times = self.site.burst
         passed = self.time.now() - self._began
@@ -424,6 +424,8 @@
             loads = mesh_halls.sum_loads(g.directory.own_loads() for g in near)
             for other in self.gateways:
                 if other.hall != hall:
-                    other.directory.take_loads(mesh_halls.source_name(hall), loads)
+                    other.directory.apply_peer_loads(
+                        mesh_halls.source_name(hall), loads
+                    )
         if not self._is_over():
             self.after(HALL_BEAT_S, self._beat_halls)
--- a/bench/restores.py
+++ b/bench/restores.py
@@ -88,19 +88,19 @@
         self._time = member.mesh._clock
         self._mesh = member.mesh
         self._store = store
-        self.epochs = store_epochs.EpochBook(self._time)
+        self.epochs = store_epochs.EpochTracker(self._time)
         store_clock = freshness.StoreClock()
         self.tables = [
             followers.Follower(
                 str(number),
                 store,
                 self._time,
-                rowcase.Kept(),
+                rowcase.RecordingSink(),
                 freshness.Freshness(
                     self._time,
                     store_clock,
                     functools.partial(float, bound),
-                    self._mesh.leads,
+                    self._mesh.is_first_reader,
                 ),
                 epochs=self.epochs,
             )
@@ -126,7 +126,7 @@
             except gateway_api.HistoryGone:
                 follower._is_read = False
             except gateway_api.StoreError as exc:
-                follower._note_lost(exc)
+                follower._record_disconnect(exc)
                 pause_s = self._pauses[number] * self._rng.uniform(0.5, 1.0)
                 self._until[number] = self._time.now() + pause_s
                 longer = 2 * self._pauses[number]
@@ -134,7 +134,7 @@
 
     def _step(self, number: int, follower: followers.Follower) -> None:
         rests = follower._is_read and follower.connected and self._mesh.has_readers()
-        follower._set_resting(rests)
+        follower._set_standby(rests)
         is_due = self.cut[number] and not rests
         if not follower._is_read or follower._is_outdated and not rests:
             self._call(follower._read)
@@ -144,7 +144,7 @@
             self._call(lambda: follower._ask(follower.version))
 
     def _call(self, call: typing.Callable[[], object]) -> None:
-        self.epochs.note(self._store.epoch, "store")
+        self.epochs.record(self._store.epoch, "store")
         call()
 
     @property
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -68,7 +68,9 @@
     call = herd.call(1, 100.0)
     return {
         "choice": time_of(lambda: gateway.chooser.endpoint(call, "")),
-        "loads taken": time_of(lambda: gateway.directory.take_loads("gw-2", loads)),
+        "loads taken": time_of(
+            lambda: gateway.directory.apply_peer_loads("gw-2", loads)
+        ),
         "loads told": time_of(gateway.directory.own_loads),
     }
 
--- a/bench/shed.py
+++ b/bench/shed.py
@@ -248,7 +248,7 @@
             backoffs.note_answer(known, sent_at)
             return
         if self.way == "none":
-            request.excluded.add(known.life)
+            request.excluded.add(known.incarnation)
         else:
             backoffs.note_refusal(known, self.backoff_s, sent_at)
             self._spread(gateway, known.name)
--- a/gaprock/agent_gate.py
+++ b/gaprock/agent_gate.py
@@ -210,7 +210,7 @@
             )
         if start.deadline <= now:
             raise errors.GaprockError(errorcodes.DEADLINE_PAST)
-        held_s = self._quarantine.holds(start.mark)
+        held_s = self._quarantine.held_for_s(start.mark)
         if held_s:
             raise errors.GaprockError(errorcodes.HELD, start.endpoint, now + held_s)
         if not self._config.ready or start.revision > self._config.revision:
@@ -309,7 +309,7 @@
         if run.first_s >= 0:
             begun_s = self._clock.now() - run.called_at - run.first_s
         # What has to wait does so here, so that what an endpoint has, it runs.
-        weight = quarantine.weight_of(begun_s, may_wait=False)
+        weight = quarantine.suspicion_weight(begun_s, may_wait=False)
         life = slot.ended_life() if weight else ""
         if not life:
             return end
--- a/gaprock/agent_hub.py
+++ b/gaprock/agent_hub.py
@@ -269,13 +269,13 @@
             self._suspects(),
         )
 
-    def _suspects(self) -> list[quarantine.SuspectNews]:
+    def _suspects(self) -> list[quarantine.SuspectUpdate]:
         """Give the suspected requests that one entry told, for the others."""
         now = self._clock.now()
-        is_all_held = now >= self._held_told_at + quarantine.TELL_HELD_S
-        if is_all_held:
+        include_held = now >= self._held_told_at + quarantine.HELD_RESEND_S
+        if include_held:
             self._held_told_at = now
-        return self._quarantine.news((quarantine.Origin.NEAR,), is_all_held)
+        return self._quarantine.news((quarantine.Origin.NEAR,), include_held)
 
     def _known_entries(self) -> list[messages.Known]:
         """Give the entries' revisions if they are due in this report."""
--- a/gaprock/backoffs.py
+++ b/gaprock/backoffs.py
@@ -103,7 +103,7 @@
     """The backoffs of all endpoints by their lives; safe for all threads."""
 
     __slots__ = (
-        "avoided",
+        "stopped_sends",
         "asked",
         "_clock",
         "_rng",
@@ -114,7 +114,7 @@
 
     def __init__(self, clock_: clock.Clock, rng: random.Random | None = None) -> None:
         # Sends that were stopped as they left, and backoffs that were asked for.
-        self.avoided = 0
+        self.stopped_sends = 0
         self.asked = 0
         self._clock = clock_
         self._rng = rng or random.Random()
@@ -136,10 +136,12 @@
         :param backoff_s: for which it wants no more of them; 0 if it does not say.
         :param sent_at: when the request was sent.
         """
-        if not backoff_s and endpoint.life not in self._known:
+        if not backoff_s and endpoint.incarnation not in self._known:
             return
         with self._lock:
-            known = self._known.setdefault(endpoint.life, _Backoff(endpoint.row.slots))
+            known = self._known.setdefault(
+                endpoint.incarnation, _Backoff(endpoint.row.slots)
+            )
             known.refused += 1
             known.refused_at = self._clock.now()
             if backoff_s:
@@ -183,22 +185,22 @@
 
         :param sent_at: when the request was sent that it answers.
         """
-        if endpoint.life not in self._known:
+        if endpoint.incarnation not in self._known:
             return
         with self._lock:
-            known = self._known.get(endpoint.life)
+            known = self._known.get(endpoint.incarnation)
             if known is None or sent_at < known.resume_at:
                 return
             known.answers += 1
             known.sends_left += SENDS_PER_ANSWER
             if known.answers >= endpoint.row.slots and not known.is_back:
                 known.is_back = True
-                self._log_back(endpoint.life, known, "answered")
+                self._log_back(endpoint.incarnation, known, "answered")
 
-    def _log_back(self, life: str, known: _Backoff, reason: str) -> None:
+    def _log_back(self, incarnation: str, known: _Backoff, reason: str) -> None:
         eventlog.info(
             "endpoint-backoff-over",
-            endpoint=life,
+            endpoint=incarnation,
             reason=reason,
             refused=known.refused,
             cap=known.cap,
@@ -218,7 +220,7 @@
 
         :param load: the requests that it has.
         """
-        known = self._known.get(endpoint.life)
+        known = self._known.get(endpoint.incarnation)
         if known is not None:
             return known.next_at(load, now)
         is_wary = now < self._wary_until.get(endpoint.row.service, -clock.NEVER)
@@ -234,9 +236,9 @@
             now = self._clock.now()
             # This send counts as running already.
             if now < self._next_at(endpoint, endpoint.load - 1, now):
-                self.avoided += 1
+                self.stopped_sends += 1
                 return False
-            known = self._known.get(endpoint.life)
+            known = self._known.get(endpoint.incarnation)
             if known is not None:
                 known.sends_left = max(0, known.sends_left - 1)
                 known.last_at = now
@@ -246,7 +248,7 @@
         """Give when our next sends to an endpoint are due."""
         now = self._clock.now()
         next_at = self._next_at(endpoint, endpoint.load, now)
-        if now >= next_at and endpoint.life not in self._known:
+        if now >= next_at and endpoint.incarnation not in self._known:
             return rate_pacing.ANY_TIME
         return rate_pacing.Turn(next_at, RESUMED_PER_S)
 
@@ -268,15 +270,15 @@
             for service, until in list(self._wary_until.items()):
                 if now >= until:
                     del self._wary_until[service]
-            for life, known in list(self._known.items()):
-                if life not in lives and now >= known.until:
-                    self._drop(life, known, "gone")
+            for incarnation, known in list(self._known.items()):
+                if incarnation not in lives and now >= known.until:
+                    self._drop(incarnation, known, "gone")
                 elif now >= max(known.resume_at, known.last_at) + IDLE_S:
-                    self._drop(life, known, "idle")
+                    self._drop(incarnation, known, "idle")
                 elif now >= max(known.until, known.refused_at + CAPPED_S):
                     if known.is_back:
-                        self._drop(life, known, "uncapped")
+                        self._drop(incarnation, known, "uncapped")
 
-    def _drop(self, life: str, known: _Backoff, reason: str) -> None:
-        del self._known[life]
-        self._log_back(life, known, reason)
+    def _drop(self, incarnation: str, known: _Backoff, reason: str) -> None:
+        del self._known[incarnation]
+        self._log_back(incarnation, known, reason)
--- a/gaprock/departures.py
+++ b/gaprock/departures.py
@@ -88,45 +88,47 @@
         self._lock = threading.Lock()
         self._known: dict[str, _Departure] = {}
 
-    def note_answer(self, life: str, is_leaving: bool, sent_at: float) -> None:
+    def note_answer(self, incarnation: str, is_leaving: bool, sent_at: float) -> None:
         """Take what the head of an answer says, or that it says nothing.
 
         :param sent_at: when the request was sent that it answers.
         """
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         if known is None and not is_leaving:
             return
         with self._lock:
-            known = self._known.get(life)
+            known = self._known.get(incarnation)
             now = self._clock.now()
             if is_leaving:
                 since = known.since if known is not None else clock.NEVER
                 until = known.doubted_until if known is not None else 0.0
                 departure = _Departure(min(since, now), now, doubted_until=until)
-                self._set(life, departure, "answer")
+                self._set(incarnation, departure, "answer")
             elif known is not None and known.doubted_until:
                 # An endpoint that leaves need not say so in its answers.
                 return
             elif known is not None and sent_at > known.as_of:
-                self._set(life, _Departure(clock.NEVER, sent_at), "answer")
+                self._set(incarnation, _Departure(clock.NEVER, sent_at), "answer")
 
-    def note_lost_row(self, life: str, since: float) -> None:
+    def note_lost_row(self, incarnation: str, since: float) -> None:
         """Record that a restored store lost the row by which an endpoint leaves."""
         now = self._clock.now()
         with self._lock:
-            known = self._known.get(life)
+            known = self._known.get(incarnation)
             is_answered = False
             if known is not None and known.since < clock.NEVER:
                 since, is_answered = min(since, known.since), known.is_answered
-            until = now + store_epochs.REWRITTEN_S
-            self._set(life, _Departure(since, now, is_answered, until), "lost-row")
+            until = now + store_epochs.RESTORE_GRACE_S
+            self._set(
+                incarnation, _Departure(since, now, is_answered, until), "lost-row"
+            )
 
-    def is_row_lost(self, life: str) -> bool:
+    def is_row_lost(self, incarnation: str) -> bool:
         """Whether an endpoint leaves by a row that a restored store lost."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         return known is not None and known.doubted_until > 0.0
 
-    def believe_rows(self) -> list[str]:
+    def end_restore_grace(self) -> list[str]:
         """Take rows as they are once a restore is long enough ago.
 
         :returns: the endpoints whose rows were doubted.
@@ -136,47 +138,47 @@
         now = self._clock.now()
         with self._lock:
             found = [
-                (life, known)
-                for life, known in self._known.items()
+                (incarnation, known)
+                for incarnation, known in self._known.items()
                 if 0.0 < known.doubted_until < now
             ]
-            for life, known in found:
+            for incarnation, known in found:
                 since = known.since if known.is_answered else clock.NEVER
                 as_of = known.as_of if known.is_answered else now
-                self._set(life, _Departure(since, as_of), "row")
-        return [life for life, _ in found]
+                self._set(incarnation, _Departure(since, as_of), "row")
+        return [incarnation for incarnation, _ in found]
 
-    def note_row_back(self, life: str) -> None:
+    def note_row_back(self, incarnation: str) -> None:
         """Take that a row which said ``draining`` no longer does."""
         with self._lock:
-            if life in self._known:
+            if incarnation in self._known:
                 departure = _Departure(clock.NEVER, self._clock.now())
-                self._set(life, departure, "row")
+                self._set(incarnation, departure, "row")
 
-    def _set(self, life: str, departure: _Departure, source: str) -> None:
-        known = self._known.get(life)
+    def _set(self, incarnation: str, departure: _Departure, source: str) -> None:
+        known = self._known.get(incarnation)
         was_leaving = known is not None and known.since < clock.NEVER
-        self._known[life] = departure
+        self._known[incarnation] = departure
         since, as_of = departure.since, departure.as_of
         is_leaving = since < clock.NEVER
         if is_leaving is was_leaving:
             return
         eventlog.info(
             "endpoint-leaving" if is_leaving else "endpoint-stays",
-            endpoint=life,
+            endpoint=incarnation,
             source=source,
             age_s=self._clock.now() - (since if is_leaving else as_of),
         )
 
-    def since(self, life: str) -> float:
+    def since(self, incarnation: str) -> float:
         """Give since when an endpoint says that it leaves; ``NEVER`` if it does not."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         return known.since if known is not None else clock.NEVER
 
     # -- What gateways tell each other --
 
     def news(
-        self, is_wanted: typing.Callable[[str], bool] = lambda life: True
+        self, is_wanted: typing.Callable[[str], bool] = lambda incarnation: True
     ) -> list[DepartureNews]:
         """Give what is known.
 
@@ -188,19 +190,19 @@
         with self._lock:
             news = [
                 DepartureNews(
-                    life,
+                    incarnation,
                     known.since < clock.NEVER,
                     now - min(now, known.since),
                     now - known.as_of,
                     max(0.0, known.doubted_until - now),
                 )
-                for life, known in self._known.items()
-                if known.since == clock.NEVER or is_wanted(life)
+                for incarnation, known in self._known.items()
+                if known.since == clock.NEVER or is_wanted(incarnation)
             ]
         news.sort(key=lambda one: (one.age_s, one.endpoint))
         return news[:MOST_TOLD]
 
-    def take_news(
+    def record_news(
         self, sender: str, news: list[DepartureNews], age_s: float = 0.0
     ) -> None:
         """Take what another gateway, or a hall's carrier, tells.
@@ -217,22 +219,22 @@
                 told = _Departure(since, as_of, not until, until)
                 self._merge(one.endpoint, told, sender)
 
-    def _merge(self, life: str, told: _Departure, sender: str) -> None:
+    def _merge(self, incarnation: str, told: _Departure, sender: str) -> None:
         """Take what is newer, and of word of the same moment that it leaves."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         if known is None:
             if told.since < clock.NEVER:
-                self._set(life, told, sender)
+                self._set(incarnation, told, sender)
             return
         if told.as_of > known.as_of + SAME_S:
             if told.since < clock.NEVER:
                 told.since = min(told.since, known.since)
                 told.is_answered |= known.is_answered and known.since < clock.NEVER
                 told.doubted_until = max(told.doubted_until, known.doubted_until)
-            self._set(life, told, sender)
+            self._set(incarnation, told, sender)
         elif told.since < known.since and told.as_of >= known.as_of - SAME_S:
             told.as_of = known.as_of
-            self._set(life, told, sender)
+            self._set(incarnation, told, sender)
 
     def lives(self) -> list[str]:
         """Give the endpoints that say that they leave."""
@@ -246,9 +248,9 @@
         """
         now = self._clock.now()
         with self._lock:
-            for life, known in list(self._known.items()):
+            for incarnation, known in list(self._known.items()):
                 is_over = known.since == clock.NEVER
-                if life in lives and not is_over:
+                if incarnation in lives and not is_over:
                     continue
                 if now > known.as_of + (KEEP_S if is_over else KEEP_GONE_S):
-                    del self._known[life]
+                    del self._known[incarnation]
--- a/gaprock/directory.py
+++ b/gaprock/directory.py
@@ -1,6 +1,6 @@
 """The endpoints that a gateway knows, and how they fare.
 
-Who is there is in ``directory_rows``, what others tell in ``directory_told``.  Load is
+Who is there is in ``directory_rows``, what others tell in ``directory_peers``.  Load is
 counted by ourselves and told by other gateways.  Health is learned from our own
 requests: an endpoint that takes no connection, falls silent or fails more than its
 peers is set aside for a while, then tried with one request that may be repeated.  An
@@ -12,12 +12,12 @@
 
 from gaprock import (
     clock,
-    directory_told,
+    directory_peers,
     endpoint_notices,
     endpoint_state,
     eventlog,
     mechanisms,
-    reading_pace,
+    prefill_pace,
     warm_up,
 )
 
@@ -31,7 +31,7 @@
 MIN_ANSWERS: typing.Final = 4
 
 
-class Directory(directory_told.ToldBook):
+class Directory(directory_peers.ToldBook):
     """All endpoints; safe for all threads."""
 
     def __init__(
@@ -39,20 +39,20 @@
         clock_: clock.Clock,
         drain_s: float,
         slow_starts: warm_up.SlowStarts | None = None,
-        notices: endpoint_notices.NoticeBook | None = None,
+        notices: endpoint_notices.EndpointNotices | None = None,
     ) -> None:
         super().__init__(clock_, drain_s, slow_starts, notices)
         self._rng = random.Random()
         # How fast the engines read.
-        self.pace = reading_pace.ReadingPace()
+        self.pace = prefill_pace.PrefillPace()
 
     # -- Health --
 
-    def is_set_aside(self, endpoint: endpoint_state.Endpoint, now: float) -> bool:
+    def is_ejected(self, endpoint: endpoint_state.Endpoint, now: float) -> bool:
         """Whether an endpoint is paused, or its trial request is not back yet."""
         if not mechanisms.SET_ASIDE.on:
             return False
-        if now < endpoint.paused_until or endpoint.on_trial:
+        if now < endpoint.ejected_until or endpoint.probe_in_flight:
             return True
         return self.fails_often(endpoint)
 
@@ -81,10 +81,10 @@
                 endpoint.sent_at = now
             endpoint.running += 1
             if not endpoint.is_over:
-                self._busy[endpoint.life] = endpoint
+                self._busy[endpoint.incarnation] = endpoint
             endpoint.backlog.add(prompt.reading, now)
-            if endpoint.paused_until and now >= endpoint.paused_until:
-                endpoint.on_trial = True
+            if endpoint.ejected_until and now >= endpoint.ejected_until:
+                endpoint.probe_in_flight = True
                 self._note_dark(endpoint, False)
 
     def read(
@@ -97,9 +97,9 @@
         """
         with self._lock:
             endpoint.backlog.remove(prompt.reading, self._clock.now())
-            if prompt.marks:
-                self._use(endpoint, prompt.marks)
-                self._prompts.append((endpoint.life, prompt.marks))
+            if prompt.hashes:
+                self._use(endpoint, prompt.hashes)
+                self._prompts.append((endpoint.incarnation, prompt.hashes))
                 self._prompt_count += 1
 
     def drop(
@@ -111,9 +111,9 @@
 
     def unread(self, endpoint: endpoint_state.Endpoint) -> float:
         """Give what an endpoint likely has to read, in tokens of the largest model."""
-        return self.unread_at([endpoint])[0]
+        return self.unread_tokens([endpoint])[0]
 
-    def unread_at(self, endpoints: list[endpoint_state.Endpoint]) -> list[float]:
+    def unread_tokens(self, endpoints: list[endpoint_state.Endpoint]) -> list[float]:
         """Give the same for some endpoints of one service."""
         if not endpoints:
             return []
@@ -129,25 +129,27 @@
         with self._lock:
             endpoint.running -= 1
             if not endpoint.running:
-                self._busy.pop(endpoint.life, None)
+                self._busy.pop(endpoint.incarnation, None)
                 # A trial request that ended without a word on the endpoint.
-                endpoint.on_trial = False
+                endpoint.probe_in_flight = False
 
     def heard(self, endpoint: endpoint_state.Endpoint) -> None:
         """Note bytes from an endpoint."""
-        endpoint.heard_at = self._clock.now()
-        if endpoint.is_dark:
+        endpoint.last_seen_at = self._clock.now()
+        if endpoint.is_unreachable:
             with self._lock:
                 self._note_dark(endpoint, False)
 
-    def _note_dark(self, endpoint: endpoint_state.Endpoint, is_dark: bool) -> None:
-        endpoint.is_dark = is_dark
-        if is_dark and not endpoint.is_over:
-            self._dark[endpoint.life] = endpoint
+    def _note_dark(
+        self, endpoint: endpoint_state.Endpoint, is_unreachable: bool
+    ) -> None:
+        endpoint.is_unreachable = is_unreachable
+        if is_unreachable and not endpoint.is_over:
+            self._dark[endpoint.incarnation] = endpoint
         else:
-            self._dark.pop(endpoint.life, None)
+            self._dark.pop(endpoint.incarnation, None)
 
-    def claim_look(self, endpoint: endpoint_state.Endpoint) -> bool:
+    def claim_silence_check(self, endpoint: endpoint_state.Endpoint) -> bool:
         """Whether a silent endpoint is to be looked at now, by this caller."""
         if not mechanisms.LOOKS.on:
             return False
@@ -161,7 +163,7 @@
             endpoint.looked_at = now
             return True
 
-    def claim_check(self, endpoint: endpoint_state.Endpoint) -> bool:
+    def claim_connection_check(self, endpoint: endpoint_state.Endpoint) -> bool:
         """Whether an endpoint that broke an answer off is to be looked at now."""
         now = self._clock.now()
         with self._lock:
@@ -179,37 +181,37 @@
             if not failed:
                 self._resume(endpoint)
 
-    def replaced(self, endpoint: endpoint_state.Endpoint) -> None:
+    def eject_replaced(self, endpoint: endpoint_state.Endpoint) -> None:
         """Set an endpoint aside for long: another one answers at its address."""
         endpoint.pause_s = LONGEST_PAUSE_S
-        self.unreachable(endpoint, "another endpoint answers")
+        self.eject(endpoint, "another endpoint answers")
 
-    def unreachable(self, endpoint: endpoint_state.Endpoint, reason: str) -> None:
+    def eject(self, endpoint: endpoint_state.Endpoint, reason: str) -> None:
         """Set an endpoint aside, longer each time."""
         with self._lock:
             now = self._clock.now()
-            endpoint.on_trial = False
+            endpoint.probe_in_flight = False
             endpoint.looked_at = now
             self._note_dark(endpoint, True)
             self._slow_starts.note_return(endpoint, "took no connection")
-            if now < endpoint.paused_until:
+            if now < endpoint.ejected_until:
                 return
             pause_s = endpoint.pause_s * self._rng.uniform(0.8, 1.2)
-            endpoint.paused_until = now + pause_s
+            endpoint.ejected_until = now + pause_s
             endpoint.pause_s = min(LONGEST_PAUSE_S, endpoint.pause_s * 2)
         eventlog.info(
             "endpoint-paused", endpoint=endpoint.name, reason=reason, pause_s=pause_s
         )
 
     def _resume(self, endpoint: endpoint_state.Endpoint) -> None:
-        endpoint.on_trial = False
-        if endpoint.paused_until:
-            endpoint.paused_until = 0.0
+        endpoint.probe_in_flight = False
+        if endpoint.ejected_until:
+            endpoint.ejected_until = 0.0
             endpoint.pause_s = endpoint_state.FIRST_PAUSE_S
             self._slow_starts.note_return(endpoint, "answers again")
             eventlog.info("endpoint-resumed", endpoint=endpoint.name)
 
-    def running_besides(self, service: str, version: str) -> int:
+    def running_on_other_versions(self, service: str, version: str) -> int:
         """Give our requests at a service's endpoints of other versions."""
         with self._lock:
             return sum(
--- a/gaprock/directory_told.py
+++ b/gaprock/directory_peers.py
@@ -31,7 +31,7 @@
         clock_: clock.Clock,
         drain_s: float,
         slow_starts: warm_up.SlowStarts | None = None,
-        notices: endpoint_notices.NoticeBook | None = None,
+        notices: endpoint_notices.EndpointNotices | None = None,
     ) -> None:
         super().__init__(clock_, drain_s, slow_starts, notices)
         # The lives at which each other gateway has requests, as it told last.
@@ -39,7 +39,7 @@
         # Memory of a service's engines, in tokens.
         self._memory: dict[str, int] = {}
         # Prompts that were read for us, as (endpoint, marks); how many there ever were.
-        self._prompts: collections.deque[tuple[str, list[prefix_cache.Mark]]] = (
+        self._prompts: collections.deque[tuple[str, list[prefix_cache.PrefixHash]]] = (
             collections.deque(maxlen=TOLD_PROMPTS)
         )
         self._prompt_count = 0
@@ -53,10 +53,10 @@
         return self._memory.get(service, 0) > 0
 
     def _use(
-        self, endpoint: endpoint_state.Endpoint, marks: list[prefix_cache.Mark]
+        self, endpoint: endpoint_state.Endpoint, hashes: list[prefix_cache.PrefixHash]
     ) -> None:
         room = CACHE_SHARE * self._memory.get(endpoint.row.service, 0)
-        endpoint.cache.use(marks, int(room))
+        endpoint.cache.use(hashes, int(room))
 
     # -- What other gateways tell --
 
@@ -64,40 +64,42 @@
         """Give what we have at each endpoint."""
         with self._lock:
             return {
-                e.life: endpoint_state.Load(e.running, round(e.backlog.own))
+                e.incarnation: endpoint_state.Load(e.running, round(e.backlog.own))
                 for e in self._busy.values()
             }
 
     def prompts_since(
         self, count: int
-    ) -> tuple[int, list[tuple[str, list[prefix_cache.Mark]]]]:
+    ) -> tuple[int, list[tuple[str, list[prefix_cache.PrefixHash]]]]:
         """Give our prompts after the first so many, and how many there are now."""
         with self._lock:
             new = min(len(self._prompts), self._prompt_count - count)
             last = list(self._prompts)[len(self._prompts) - new :] if new else []
             return self._prompt_count, last
 
-    def take_prompts(self, prompts: list[tuple[str, list[prefix_cache.Mark]]]) -> None:
+    def apply_peer_prompts(
+        self, prompts: list[tuple[str, list[prefix_cache.PrefixHash]]]
+    ) -> None:
         """Take the prompts that another gateway sent."""
         if not mechanisms.TOLD_PROMPTS.on:
             return
         with self._lock:
-            for life, marks in prompts:
-                endpoint = self._lives.get(life)
+            for incarnation, hashes in prompts:
+                endpoint = self._lives.get(incarnation)
                 if endpoint is not None:
-                    self._use(endpoint, marks)
+                    self._use(endpoint, hashes)
 
-    def dark(self) -> list[str]:
+    def unreachable_endpoints(self) -> list[str]:
         """Give the endpoints that we find dark."""
         with self._lock:
             return sorted(self._dark)
 
-    def found_dark(self, gateways: typing.Collection[str]) -> list[str]:
+    def found_unreachable(self, gateways: typing.Collection[str]) -> list[str]:
         """Give the endpoints that we or some others, by their names, find dark."""
         with self._lock:
             doubted = [
-                life
-                for life, e in self._doubted.items()
+                incarnation
+                for incarnation, e in self._doubted.items()
                 if not e.doubters.isdisjoint(gateways)
             ]
             return sorted({*self._dark, *doubted})
@@ -107,16 +109,22 @@
         with self._lock:
             return sorted(self._doubted)
 
-    def take_dark(self, gateway: str, names: typing.Collection[str]) -> None:
+    def apply_peer_unreachable(
+        self, gateway: str, names: typing.Collection[str]
+    ) -> None:
         """Take the endpoints that another gateway finds dark, by their lives."""
         if not mechanisms.DOUBTED.on:
             return
         now = self._clock.now()
         with self._lock:
-            told = [self._lives[life] for life in names if life in self._lives]
+            told = [
+                self._lives[incarnation]
+                for incarnation in names
+                if incarnation in self._lives
+            ]
             found = collections.Counter(e.row.service for e in told)
             for endpoint in list(self._doubted.values()):
-                if endpoint.life not in names:
+                if endpoint.incarnation not in names:
                     self._undoubt(endpoint, gateway)
             for endpoint in told:
                 size = len(self._index.of_service(endpoint.row.service))
@@ -133,14 +141,14 @@
             self._slow_starts.note_return(endpoint, "found dark")
             self._log_doubt(endpoint, gateway, now)
         endpoint.doubters.add(gateway)
-        self._doubted[endpoint.life] = endpoint
+        self._doubted[endpoint.incarnation] = endpoint
 
     def _undoubt(self, endpoint: endpoint_state.Endpoint, gateway: str) -> None:
         if gateway not in endpoint.doubters:
             return
         endpoint.doubters.discard(gateway)
         if not endpoint.doubters:
-            self._doubted.pop(endpoint.life, None)
+            self._doubted.pop(endpoint.incarnation, None)
             self._slow_starts.note_return(endpoint, "no longer dark")
 
     def _log_doubt(
@@ -150,20 +158,22 @@
             "endpoint-doubted",
             endpoint=endpoint.name,
             by=gateway,
-            heard_s=now - endpoint.heard_at if endpoint.heard_at else "never",
+            heard_s=now - endpoint.last_seen_at if endpoint.last_seen_at else "never",
         )
 
-    def take_loads(self, gateway: str, loads: dict[str, endpoint_state.Load]) -> None:
+    def apply_peer_loads(
+        self, gateway: str, loads: dict[str, endpoint_state.Load]
+    ) -> None:
         """Take another gateway's requests by the endpoints' lives."""
         if not mechanisms.TOLD_LOADS.on:
             return
         now = self._clock.now()
         with self._lock:
-            for life in {*self._told.get(gateway, ()), *loads}:
-                endpoint = self._lives.get(life)
+            for incarnation in {*self._told.get(gateway, ()), *loads}:
+                endpoint = self._lives.get(incarnation)
                 if endpoint is None:
                     continue
-                load = loads.get(life)
+                load = loads.get(incarnation)
                 endpoint.backlog.take(gateway, load.reading if load else 0.0, now)
                 if load is not None:
                     endpoint.others[gateway] = load
--- a/gaprock/directory_rows.py
+++ b/gaprock/directory_rows.py
@@ -33,11 +33,11 @@
 WHOLE_MOST: typing.Final = 100
 # Lives that are remembered after they are gone.
 GONE_KEPT: typing.Final = 2000
-LOOKED_AT: typing.Final = 16
+CANDIDATES_PER_HALL: typing.Final = 16
 FULL_SHARE: typing.Final = 0.5
 
 
-class Around(typing.NamedTuple):
+class CandidateScope(typing.NamedTuple):
     """Where a request looks for an endpoint in a service that has many.
 
     :param hall: the own hall.
@@ -63,13 +63,13 @@
         clock_: clock.Clock,
         drain_s: float,
         slow_starts: warm_up.SlowStarts | None = None,
-        notices: endpoint_notices.NoticeBook | None = None,
+        notices: endpoint_notices.EndpointNotices | None = None,
     ) -> None:
         self._clock = clock_
         self._slow_starts = slow_starts or warm_up.SlowStarts(clock_)
         # The halls that an operator has emptied.
         self._emptied: frozenset[str] = frozenset()
-        self.notices = notices or endpoint_notices.NoticeBook(clock_)
+        self.notices = notices or endpoint_notices.EndpointNotices(clock_)
         # What endpoints that name a rate limit may get.
         self.pacer = self.notices.pacer
         self._drain_s = drain_s
@@ -122,18 +122,18 @@
         for name, row in rows.items():
             if row.draining:
                 continue
-            life = endpoint_state.life_name(name, row.born)
-            endpoint = self._lives.get(life)
+            incarnation = endpoint_state.incarnation_id(name, row.born)
+            endpoint = self._lives.get(incarnation)
             departures_ = self.notices.departures
             if endpoint is not None and endpoint.lapsed:
                 continue
             if endpoint is not None and endpoint.row_leave_at != clock.NEVER:
                 since = endpoint.row_leave_at - LEAVING_SHARE * self._drain_s
-                departures_.note_lost_row(life, since)
-            elif endpoint is None and life in self._gone:
-                departures_.note_lost_row(life, self._gone[life])
-            elif departures_.is_row_lost(life):
-                departures_.note_lost_row(life, departures_.since(life))
+                departures_.note_lost_row(incarnation, since)
+            elif endpoint is None and incarnation in self._gone:
+                departures_.note_lost_row(incarnation, self._gone[incarnation])
+            elif departures_.is_row_lost(incarnation):
+                departures_.note_lost_row(incarnation, departures_.since(incarnation))
 
     def store_returned(self, at: float | None = None) -> None:
         """Note that the store answers again; called before its first rows are taken.
@@ -147,10 +147,12 @@
         """Take one change; ``None`` says that the row is gone."""
         with self._lock:
             if row is not None:
-                life = endpoint_state.life_name(name, row.born)
-                if not row.draining and self.notices.departures.is_row_lost(life):
+                incarnation = endpoint_state.incarnation_id(name, row.born)
+                if not row.draining and self.notices.departures.is_row_lost(
+                    incarnation
+                ):
                     # Written since the store was restored.
-                    self.notices.departures.note_row_back(life)
+                    self.notices.departures.note_row_back(incarnation)
                 self._update(name, row)
             elif name in self._endpoints:
                 self._row_gone(self._endpoints[name])
@@ -162,17 +164,17 @@
             for name, endpoint in list(self._endpoints.items()):
                 idle = endpoint.row_gone and not endpoint.running
                 if idle and now > endpoint.row_leave_at + self._drain_s:
-                    del self._endpoints[name], self._lives[endpoint.life]
+                    del self._endpoints[name], self._lives[endpoint.incarnation]
                     self._forget(endpoint)
                     self._remember_gone(endpoint)
-            for life in self.notices.departures.believe_rows():
-                if life in self._lives:
-                    self._apply_departure(self._lives[life])
+            for incarnation in self.notices.departures.end_restore_grace():
+                if incarnation in self._lives:
+                    self._apply_departure(self._lives[incarnation])
             self.notices.forget_old(self._lives)
 
     def _remember_gone(self, endpoint: endpoint_state.Endpoint) -> None:
         """Remember a life that is over: a restored store may show it as ready."""
-        self._gone[endpoint.life] = endpoint.row_leave_at
+        self._gone[endpoint.incarnation] = endpoint.row_leave_at
         if len(self._gone) > GONE_KEPT:
             self._gone.popitem(last=False)
 
@@ -184,7 +186,7 @@
         is_new = endpoint is None
         if endpoint is None:
             endpoint = self._endpoints[name] = endpoint_state.Endpoint(name, row)
-            self._lives[endpoint.life] = endpoint
+            self._lives[endpoint.incarnation] = endpoint
             self._index.add(endpoint)
             self._log_new(name, row)
         was_draining = endpoint.row.draining
@@ -199,11 +201,11 @@
             self._leave(endpoint, "draining")
         elif endpoint.row_leave_at != clock.NEVER:
             endpoint.leave_by_row(clock.NEVER)
-            if not self.notices.departures.is_row_lost(endpoint.life):
+            if not self.notices.departures.is_row_lost(endpoint.incarnation):
                 # A row that lapsed while the store was away is back, or stays.
                 eventlog.info("endpoint-back", endpoint=name)
                 if was_draining:
-                    self.notices.departures.note_row_back(endpoint.life)
+                    self.notices.departures.note_row_back(endpoint.incarnation)
         self._apply_departure(endpoint)
 
     def _log_new(self, name: str, row: gateway_api.EndpointRow) -> None:
@@ -226,7 +228,7 @@
         Sends to it go on with what they have, and end as soon as they look.
         """
         endpoint.is_over = True
-        del self._lives[endpoint.life]
+        del self._lives[endpoint.incarnation]
         self._forget(endpoint)
         eventlog.info(
             "endpoint-reborn",
@@ -240,7 +242,7 @@
         """Drop a life from what is looked up."""
         self._index.remove(endpoint)
         for known in (self._busy, self._dark, self._doubted):
-            known.pop(endpoint.life, None)
+            known.pop(endpoint.incarnation, None)
 
     def _row_gone(self, endpoint: endpoint_state.Endpoint) -> None:
         if endpoint.row_gone:
@@ -285,19 +287,19 @@
 
     def _apply_departure(self, endpoint: endpoint_state.Endpoint) -> None:
         """Stop using an endpoint in time after it first said that it leaves."""
-        since = self.notices.departures.since(endpoint.life)
+        since = self.notices.departures.since(endpoint.incarnation)
         endpoint.leave_by_answer(since + LEAVING_SHARE * self._drain_s)
 
     def departure_news(self) -> list[departures.DepartureNews]:
         """Give the endpoints that say they leave, but for those whose rows do too."""
 
-        def is_wanted(life: str) -> bool:
-            endpoint = self._lives.get(life)
+        def is_wanted(incarnation: str) -> bool:
+            endpoint = self._lives.get(incarnation)
             return endpoint is not None and endpoint.row_leave_at == clock.NEVER
 
         return self.notices.departures.news(is_wanted)
 
-    def take_departures(
+    def apply_peer_departures(
         self, sender: str, news: list[departures.DepartureNews], age_s: float = 0.0
     ) -> None:
         """Take the endpoints that others were told leave.
@@ -306,7 +308,7 @@
         """
         if not news:
             return
-        self.notices.departures.take_news(sender, news, age_s)
+        self.notices.departures.record_news(sender, news, age_s)
         with self._lock:
             for one in news:
                 endpoint = self._lives.get(one.endpoint)
@@ -315,7 +317,7 @@
 
     # -- Halls that are emptied --
 
-    def set_emptied(self, halls: frozenset[str]) -> None:
+    def set_cordoned(self, halls: frozenset[str]) -> None:
         """Take the halls to whose endpoints nothing more may go.
 
         The endpoints of a hall that is taken back stood idle, and may have started
@@ -370,7 +372,7 @@
         self,
         service: str,
         excluded: set[str],
-        around: Around | None = None,
+        around: CandidateScope | None = None,
         test: endpoint_index.Test = lambda endpoint: True,
     ) -> list[endpoint_state.Endpoint]:
         """Give the endpoints of a service that may get a request now.
@@ -413,7 +415,9 @@
         if pacer.limits.is_empty:
             return []
         with self._lock:
-            limited = [self._lives.get(life) for life in pacer.limits.lives()]
+            limited = [
+                self._lives.get(incarnation) for incarnation in pacer.limits.lives()
+            ]
             return [
                 e
                 for e in limited
@@ -450,8 +454,8 @@
         self, endpoint: endpoint_state.Endpoint, excluded: set[str], now: float
     ) -> bool:
         """Whether a request may go to an endpoint, but for what it bears now."""
-        is_there = now < endpoint.leave_at and endpoint.life not in excluded
-        if not is_there or endpoint.is_dark and endpoint.is_known_dark(now):
+        is_there = now < endpoint.leave_at and endpoint.incarnation not in excluded
+        if not is_there or endpoint.is_unreachable and endpoint.is_known_dark(now):
             return False
         return endpoint.row.hall not in self._emptied
 
@@ -470,22 +474,28 @@
                 and e.row.hall not in self._emptied
                 and test(e)
             ]
-        return [e for e in staying if not e.is_dark], len(staying)
+        return [e for e in staying if not e.is_unreachable], len(staying)
 
     def _around(
-        self, service: str, around: Around, is_live: endpoint_index.Test
+        self, service: str, around: CandidateScope, is_live: endpoint_index.Test
     ) -> list[endpoint_state.Endpoint]:
         """Look at a few endpoints of the own hall, and of others if those are full."""
         now = self._clock.now()
 
         def stays(e: endpoint_state.Endpoint) -> bool:
-            is_well = now >= e.paused_until and not e.on_trial and not e.is_doubted
+            is_well = (
+                now >= e.ejected_until and not e.probe_in_flight and not e.is_suspected
+            )
             return e.stays and is_well and is_live(e)
 
         def follow(hall: str) -> list[endpoint_state.Endpoint]:
             test = around.test
             return self._index.following(
-                service, hall, around.key, LOOKED_AT, lambda e: stays(e) and test(e)
+                service,
+                hall,
+                around.key,
+                CANDIDATES_PER_HALL,
+                lambda e: stays(e) and test(e),
             )
 
         found = follow(around.hall)
--- a/gaprock/endpoint_notices.py
+++ b/gaprock/endpoint_notices.py
@@ -24,7 +24,7 @@
 LOG_ODD_S: typing.Final = 10.0
 
 
-class NoticeBook:
+class EndpointNotices:
     """What all endpoints say of themselves; safe for all threads.
 
     :param pacer: keeps to the rate limits.
@@ -53,21 +53,21 @@
 
         :param sent_at: when the request was sent that it answers.
         """
-        notice, life = head.notice, endpoint.life
+        notice, incarnation = head.notice, endpoint.incarnation
         for text in notice.odd:
             self._note_odd(endpoint, text)
         # What another endpoint does not say is no word of this one.
         if not head.wrong_endpoint or notice.limit.per_s is not None:
             self.pacer.limits.note_answer(endpoint, notice.limit, sent_at)
         if not head.wrong_endpoint or notice.is_leaving:
-            self.departures.note_answer(life, notice.is_leaving, sent_at)
+            self.departures.note_answer(incarnation, notice.is_leaving, sent_at)
         if head.not_run or notice.backoff_s:
             self.backoffs.note_refusal(endpoint, notice.backoff_s, sent_at)
         else:
             self.backoffs.note_answer(endpoint, sent_at)
 
     def _note_odd(self, endpoint: endpoint_state.Endpoint, text: str) -> None:
-        key, now = (endpoint.life, text.partition(":")[0]), self._clock.now()
+        key, now = (endpoint.incarnation, text.partition(":")[0]), self._clock.now()
         with self._lock:
             if now < self._odd_at.get(key, -clock.NEVER) + LOG_ODD_S:
                 return
--- a/gaprock/endpoint_state.py
+++ b/gaprock/endpoint_state.py
@@ -31,18 +31,18 @@
     """What a send makes an endpoint read.
 
     :param reading: what is not kept there, in tokens of the largest model.
-    :param marks: all of its parts.
+    :param hashes: all of its parts.
     :param tokens: what is not kept there, in tokens of its own model.
-    :param kept: share of it that is kept there.
+    :param cached: share of it that is kept there.
     """
 
     reading: float
-    marks: list[prefix_cache.Mark]
+    hashes: list[prefix_cache.PrefixHash]
     tokens: int = 0
-    kept: float = 0.0
+    cached: float = 0.0
 
 
-def life_name(name: str, born: int) -> str:
+def incarnation_id(name: str, born: int) -> str:
     """Give the name of an endpoint's life among gateways.
 
     One that starts again under its id knows nothing of before, and nothing that is told
@@ -58,7 +58,7 @@
 
     __slots__ = (
         "name",
-        "life",
+        "incarnation",
         "row",
         "is_over",
         "leave_at",
@@ -70,15 +70,15 @@
         "backlog",
         "others",
         "cache",
-        "heard_at",
+        "last_seen_at",
         "sent_at",
         "looked_at",
-        "is_dark",
+        "is_unreachable",
         "doubters",
         "doubted_at",
-        "paused_until",
+        "ejected_until",
         "pause_s",
-        "on_trial",
+        "probe_in_flight",
         "answers",
         "failure_rate",
         "warm_at",
@@ -87,7 +87,7 @@
 
     def __init__(self, name: str, row: gateway_api.EndpointRow) -> None:
         self.name = name
-        self.life = life_name(name, row.born)
+        self.incarnation = incarnation_id(name, row.born)
         self.row = row
         # Whether it has started again since.
         self.is_over = False
@@ -108,18 +108,18 @@
         # The parts of prompts that it likely keeps.
         self.cache = prefix_cache.PrefixCache()
         # When bytes last came from it, and when the oldest unanswered send was.
-        self.heard_at = 0.0
+        self.last_seen_at = 0.0
         self.sent_at = 0.0
         # When a silent endpoint was last looked at, and whether it took no connection.
         self.looked_at = 0.0
-        self.is_dark = False
+        self.is_unreachable = False
         # The gateways that find it dark, and since when the first of them does.
         self.doubters: set[str] = set()
         self.doubted_at = 0.0
         # Set aside until then; the next pause, and whether a trial request is out.
-        self.paused_until = 0.0
+        self.ejected_until = 0.0
         self.pause_s = FIRST_PAUSE_S
-        self.on_trial = False
+        self.probe_in_flight = False
         self.answers = 0
         self.failure_rate = 0.0
         # From when on it bears its whole load, and before that the earliest moment for
@@ -154,26 +154,28 @@
         return self.running + sum(load.running for load in self.others.values())
 
     @property
-    def is_doubted(self) -> bool:
+    def is_suspected(self) -> bool:
         """Whether others find it dark and it has told us nothing since."""
-        return bool(self.doubters) and self.heard_at < self.doubted_at
+        return bool(self.doubters) and self.last_seen_at < self.doubted_at
 
     def is_known_dark(self, now: float) -> bool:
         """Whether it took no connection a moment ago, so that it is not tried again."""
-        return self.is_dark and now < self.looked_at + LOOK_EVERY_S
+        return self.is_unreachable and now < self.looked_at + LOOK_EVERY_S
 
     def silent(self, now: float) -> bool:
         """Whether it has requests of ours and says nothing."""
-        return self.running > 0 and now - max(self.heard_at, self.sent_at) > SILENT_S
+        return (
+            self.running > 0 and now - max(self.last_seen_at, self.sent_at) > SILENT_S
+        )
 
     def prompt(
-        self, marks: list[prefix_cache.Mark], tokens: int, weight: float
+        self, hashes: list[prefix_cache.PrefixHash], tokens: int, weight: float
     ) -> Prompt:
         """Give what a request would make it read.
 
         :param tokens: of the whole prompt.
         :param weight: the work of the model's token, that of the largest being 1.
         """
-        to_read = max(0, tokens - self.cache.kept(marks))
-        kept = 1.0 - to_read / tokens if tokens else 0.0
-        return Prompt(weight * to_read, marks, to_read, kept)
+        to_read = max(0, tokens - self.cache.cached(hashes))
+        cached = 1.0 - to_read / tokens if tokens else 0.0
+        return Prompt(weight * to_read, hashes, to_read, cached)
--- a/gaprock/entry_budget.py
+++ b/gaprock/entry_budget.py
@@ -22,7 +22,7 @@
         self.first = 0
         self.second = 0
 
-    def note_first(self) -> None:
+    def record_first(self) -> None:
         """Count a first try."""
         with self._lock:
             self.first += 1
--- a/gaprock/entry_call.py
+++ b/gaprock/entry_call.py
@@ -13,7 +13,7 @@
     errors,
     ids,
     options,
-    request_mark,
+    request_fingerprint,
     sessions,
 )
 
@@ -96,7 +96,7 @@
     @property
     def mark(self) -> int:
         """The request's mark."""
-        return request_mark.mark_of(
+        return request_fingerprint.fingerprint_of(
             self.workspace, self.template.name, self.digest, b""
         )
 
--- a/gaprock/entry_dispatch.py
+++ b/gaprock/entry_dispatch.py
@@ -127,7 +127,7 @@
         :raises errors.GaprockError: the last refusal, or a failure that leaves
             open whether the call ran and does not allow another try.
         """
-        self.budget.note_first()
+        self.budget.record_first()
         excluded: set[str] = set()
         behind: set[str] = set()
         behind_until = min(call.deadline, self._clock.now() + BEHIND_S)
@@ -167,7 +167,7 @@
         """
         if self._quarantine.is_empty:
             return
-        held_s = self._quarantine.holds(call.mark)
+        held_s = self._quarantine.held_for_s(call.mark)
         if held_s:
             held = errors.GaprockError(
                 errorcodes.HELD, f"mark {call.mark:016x}", self._clock.now() + held_s
--- a/gaprock/entry_link.py
+++ b/gaprock/entry_link.py
@@ -312,14 +312,14 @@
             self._suspects(),
         )
 
-    def _suspects(self) -> list[quarantine.SuspectNews]:
+    def _suspects(self) -> list[quarantine.SuspectUpdate]:
         """Give the suspected requests that are due to the agent."""
         now = self.shared.clock.now()
-        is_all_held = now >= self._held_told_at + quarantine.TELL_HELD_S
-        if is_all_held:
+        include_held = now >= self._held_told_at + quarantine.HELD_RESEND_S
+        if include_held:
             self._held_told_at = now
         origins = (quarantine.Origin.OWN, quarantine.Origin.NEAR)
-        return self.shared.quarantine.news(origins, is_all_held)
+        return self.shared.quarantine.news(origins, include_held)
 
     def _add_sent(self, endpoint: str, change: int) -> None:
         self._sent_since[endpoint] = self._sent_since.get(endpoint, 0) + change
--- a/gaprock/entry_serve.py
+++ b/gaprock/entry_serve.py
@@ -103,7 +103,7 @@
             the configuration stays the same.
         """
         allowed = self._available(entry_versions.rule(self._config, template, name))
-        choice = self._cascade.choose(template, allowed, can_climb=False)
+        choice = self._cascade.choose(template, allowed, can_escalate=False)
         version = choice.versions[0] if choice else allowed[-1]
         return sessions.Session(name, template.workspace, template.name, version)
 
@@ -166,7 +166,7 @@
         ruled = entry_versions.rule(self._config, call.template, call.request)
         allowed = self._available(ruled)
         choice = self._cascade.choose(
-            call.template, allowed, can_climb=not call.stream
+            call.template, allowed, can_escalate=not call.stream
         ) or policy_api.Choice(allowed[-1:], "default")
         self._decisions.log(
             "versions",
--- a/gaprock/gateway_source.py
+++ b/gaprock/event_source.py
@@ -7,7 +7,7 @@
     """A stream ended before it was whole."""
 
 
-class Source:
+class EventSource:
     """The events of one send."""
 
     __slots__ = ("attempt", "_splitter", "_clock", "_directory")
--- a/gaprock/followers.py
+++ b/gaprock/followers.py
@@ -40,14 +40,14 @@
 # A peer that is ahead for this long has news that the store did not tell, seconds.
 BEHIND_S: typing.Final = 0.4
 # Removed rows that are remembered, so that a peer can be told the changes alone.
-REMOVED_KEPT: typing.Final = 2000
+MAX_TOMBSTONES: typing.Final = 2000
 DIGEST_RANGE: typing.Final = 1 << 64
 
 
 class Sink(typing.Protocol):
     """Takes the rows of a table."""
 
-    def take_page(self, page: gateway_api.Page, whole: bool) -> None:
+    def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         """Take changed rows, or a whole table."""
 
 
@@ -66,7 +66,7 @@
         on_back: typing.Callable[[], None] = lambda: None,
         awaits_copy: typing.Callable[[], bool] = lambda: False,
         is_left: typing.Callable[[], bool] = lambda: False,
-        epochs: store_epochs.EpochBook | None = None,
+        epochs: store_epochs.EpochTracker | None = None,
     ) -> None:
         self.table = table
         self._store = store
@@ -77,14 +77,14 @@
         self._gather_s = gather_s
         # Whether others read the store for us.
         self._may_rest = may_rest
-        self.resting = False
+        self.on_standby = False
         # Told when the store answers again, before its rows are taken.
         self._on_back = on_back
         # Whether the first reading is left to a peer for a moment.
         self._awaits_copy = awaits_copy
         # Whether a store that does not answer us is left to others for a while.
         self._is_left = is_left
-        self._epochs = epochs or store_epochs.EpochBook(clock_)
+        self._epochs = epochs or store_epochs.EpochTracker(clock_)
         self._lock = threading.RLock()
         self._rows: dict[str, gateway_api.Row] = {}
         # Whether the table was read whole, so that its changes can be asked for.
@@ -104,7 +104,7 @@
         self._removed: collections.OrderedDict[str, int] = collections.OrderedDict()
         self._changes_from = 0
         # Since when the store has not answered; ``NEVER`` while it does.
-        self.lost_at = 0.0
+        self.disconnected_at = 0.0
         # How often the history was gone since the last changes that the store told.
         self._times_gone = 0
         self._rng = random.Random()
@@ -122,7 +122,7 @@
     @property
     def connected(self) -> bool:
         """Whether the store answered last time."""
-        return self.lost_at == clock.NEVER
+        return self.disconnected_at == clock.NEVER
 
     def rows(self) -> list[gateway_api.Row]:
         """Give the table as it is known."""
@@ -155,7 +155,7 @@
         """Take a peer's proof, if it is of the table as we know it."""
         with self._lock:
             if news.digest == self._digest and news.epoch == self.epoch:
-                self.fresh.prove(news.proved)
+                self.fresh.prove(news.verified_store_time)
 
     def expect_change(self) -> None:
         """Give a poll that waits a moment to tell of a change, before we ask."""
@@ -163,7 +163,7 @@
             if self._is_polling:
                 self.fresh.hurry(self._clock.now() + BEHIND_S)
 
-    def take_copy(self, page: gateway_api.Page) -> None:
+    def apply_copy(self, page: gateway_api.Page) -> None:
         """Take a whole table from a peer if it has a newer change.
 
         One that is not newer than what the store told us lacks what it told: a row that
@@ -180,9 +180,9 @@
                 epoch=page.epoch,
             )
             self._take_whole(page, page.version)
-            if not self._is_read and self.lost_at == 0.0:
+            if not self._is_read and self.disconnected_at == 0.0:
                 # Before any call of ours it stands for the first reading.
-                self._is_read, self.lost_at = True, clock.NEVER
+                self._is_read, self.disconnected_at = True, clock.NEVER
             # A poll that does not tell the same soon is not going to.
             self.expect_change()
 
@@ -208,7 +208,7 @@
             self.expect_change()
 
     @property
-    def copied_to(self) -> int:
+    def delta_base(self) -> int:
         """The version after which changes help us; -1 while we need the whole table."""
         return self.version if self._is_read else -1
 
@@ -229,7 +229,7 @@
                     pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
                     continue
             except gateway_api.StoreError as exc:
-                self._note_lost(exc)
+                self._record_disconnect(exc)
                 self._rest_from_store(pause_s, exc.retry_s)
                 pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
                 continue
@@ -259,15 +259,15 @@
 
     def _step(self) -> None:
         """Make the next call, or rest."""
-        self._set_resting(self._is_read and self.connected and self._may_rest())
+        self._set_standby(self._is_read and self.connected and self._may_rest())
         if not self._is_read and self._awaits_copy():
             self._stopped.wait(COPY_LOOK_S)
-        elif not self._is_read or (self._is_outdated and not self.resting):
+        elif not self._is_read or (self._is_outdated and not self.on_standby):
             self._read()
         elif not self.connected or self.fresh.is_check_due:
             # After a failure, a call without a wait shows whether the store answers.
             self._ask(self.version)
-        elif self.resting:
+        elif self.on_standby:
             self._stopped.wait(LOOK_S)
         elif self._poll():
             self._stopped.wait(self._gather_s)
@@ -389,7 +389,7 @@
         self._removed.clear()
         self._changes_from = page.version
         self._digest = digest(self._rows)
-        self._sink.take_page(page, whole=True)
+        self._sink.apply_page(page, whole=True)
 
     def _take_changes(self, page: gateway_api.Page) -> int:
         """Take changed rows, less those that were brought already.
@@ -412,7 +412,7 @@
         self.version = max(self.version, page.version)
         if fresh:
             changed = page._replace(rows=fresh)
-            self._sink.take_page(changed, whole=False)
+            self._sink.apply_page(changed, whole=False)
         return len(fresh)
 
     def _put(self, row: gateway_api.Row, old: gateway_api.Row | None) -> None:
@@ -427,30 +427,32 @@
         self._rows.pop(row.key, None)
         self._removed[row.key] = row.version
         self._removed.move_to_end(row.key)
-        if len(self._removed) > REMOVED_KEPT:
+        if len(self._removed) > MAX_TOMBSTONES:
             _, version = self._removed.popitem(last=False)
             self._changes_from = max(self._changes_from, version)
 
-    def _set_resting(self, resting: bool) -> None:
-        if resting is self.resting:
+    def _set_standby(self, on_standby: bool) -> None:
+        if on_standby is self.on_standby:
             return
-        self.resting = resting
-        event = "store-left-to-readers" if resting else "store-read-again"
+        self.on_standby = on_standby
+        event = "store-left-to-readers" if on_standby else "store-read-again"
         eventlog.info(event, table=self.table, version=self.version)
 
     def _note_answer(self) -> None:
         if self.connected:
             return
         self._on_back()
-        away_s = self._clock.now() - self.lost_at if self.lost_at else 0.0
-        self.lost_at = clock.NEVER
+        away_s = (
+            self._clock.now() - self.disconnected_at if self.disconnected_at else 0.0
+        )
+        self.disconnected_at = clock.NEVER
         eventlog.info(
             "store-back", table=self.table, version=self.version, away_s=away_s
         )
 
-    def _note_lost(self, exc: gateway_api.StoreError) -> None:
+    def _record_disconnect(self, exc: gateway_api.StoreError) -> None:
         if self.connected:
-            self.lost_at = self._clock.now()
+            self.disconnected_at = self._clock.now()
             eventlog.warning(
                 "store-lost", table=self.table, version=self.version, error=exc
             )
--- a/gaprock/freshness.py
+++ b/gaprock/freshness.py
@@ -45,7 +45,7 @@
         # The least and the most that our clock may be ahead, seconds.
         self._bounds: tuple[float, float] | None = None
 
-    def note(self, store_now: float, asked_at: float, answered_at: float) -> None:
+    def record(self, store_now: float, asked_at: float, answered_at: float) -> None:
         """Take an answer that the store did not hold.
 
         :param store_now: the store's time in the answer, seconds.
@@ -77,7 +77,7 @@
         """Give the latest that a time of the store can be by our clock."""
         return None if self._bounds is None else stamp + self._bounds[1]
 
-    def latest_there(self, at: float) -> float:
+    def latest_store_time(self, at: float) -> float:
         """Give the latest that a time of ours can be by the store's clock.
 
         :raises ValueError: before the store's first answer.
@@ -104,7 +104,7 @@
         "_hurry_at",
         "stamp",
         "own_stamp",
-        "proved_at",
+        "verified_at",
     )
 
     def __init__(
@@ -126,15 +126,15 @@
         self.stamp = 0.0
         self.own_stamp = 0.0
         # The newest proof by our clock.
-        self.proved_at = 0.0
+        self.verified_at = 0.0
 
     def prove(self, stamp: float) -> None:
         """Take a proof that another gateway handed on."""
         # A proof may look older than it is, never newer.
         at = self._store_clock.earliest(stamp)
         # One from the future is of a store that counts anew.
-        if at is not None and self.proved_at < at <= self._clock.now():
-            self.stamp, self.proved_at = stamp, at
+        if at is not None and self.verified_at < at <= self._clock.now():
+            self.stamp, self.verified_at = stamp, at
             self._share = self._rng.uniform(*OTHER_SHARES)
 
     def prove_by_answer(self, stamp: float, asked_at: float | None) -> None:
@@ -143,7 +143,7 @@
         :param asked_at: when it was asked for; ``None`` if the store held the call.
         """
         if asked_at is not None:
-            self._store_clock.note(stamp, asked_at, self._clock.now())
+            self._store_clock.record(stamp, asked_at, self._clock.now())
         self.own_stamp = stamp
         self._hurry_at = clock.NEVER
         self.prove(stamp)
@@ -156,10 +156,10 @@
     def is_check_due(self) -> bool:
         """Whether to ask the store now."""
         share = LEAD_SHARE if self._leads() else self._share
-        due_at = self.proved_at + share * self._bound_s()
+        due_at = self.verified_at + share * self._bound_s()
         return self._clock.now() >= min(due_at, self._hurry_at)
 
     @property
     def is_stale(self) -> bool:
         """Whether a change that has to be in force may be unknown to us."""
-        return self._clock.now() > self.proved_at + self._bound_s()
+        return self._clock.now() > self.verified_at + self._bound_s()
--- a/gaprock/gateway_call.py
+++ b/gaprock/gateway_call.py
@@ -3,7 +3,7 @@
 import typing
 import zlib
 
-from gaprock import errorcodes, gateway_api, http_exchange, request_mark, routes
+from gaprock import errorcodes, gateway_api, http_exchange, request_fingerprint, routes
 
 Headers = gateway_api.Headers
 # The first parts of a prompt name its subject; what follows is a request's own.
@@ -147,7 +147,7 @@
         """The request's mark; hashes the body when it is first asked for."""
         if self._mark is None:
             caller = self.workspace.name if self.workspace else self.info.key
-            self._mark = request_mark.mark_of(
+            self._mark = request_fingerprint.fingerprint_of(
                 caller, self.info.host, self.inbound.path, self.inbound.body
             )
         return self._mark
--- a/gaprock/gateway_choose.py
+++ b/gaprock/gateway_choose.py
@@ -94,9 +94,9 @@
         whole = weight * call.info.tokens_in
         mean = self._mean_prompt.get(call.service, whole)
         self._mean_prompt[call.service] = mean + MEAN_WEIGHT * (whole - mean)
-        marks = prefix_cache.marks_of(model, call.info.parts) if weight else []
+        hashes = prefix_cache.prefix_hashes(model, call.info.parts) if weight else []
         tokens = call.info.tokens_in
-        prompts = {e.name: e.prompt(marks, tokens, weight) for e in fitting + paced}
+        prompts = {e.name: e.prompt(hashes, tokens, weight) for e in fitting + paced}
         chosen = self._best(good or fitting, prompts, mean)
         if paced:
             self._note_paced(call, chosen, paced, prompts, mean)
@@ -105,7 +105,7 @@
         prompt = prompts[chosen.name]
         if call.is_in_session:
             version = chosen.row.version
-            self._rollouts.note_session(call.service, call.session, version)
+            self._rollouts.record_session(call.service, call.session, version)
         eventlog.info(
             "route",
             request=call.info.request,
@@ -122,7 +122,7 @@
             unread=self._directory.unread(chosen),
             reading=prompt.reading,
             whole=whole,
-            heard_s=now - chosen.heard_at,
+            heard_s=now - chosen.last_seen_at,
         )
         return chosen, prompt
 
@@ -149,17 +149,21 @@
 
     def _fitting(self, call: gateway_call.Call) -> "_Fitting":
         """Give the usable endpoints that are looked at, and those that fit a call."""
-        side = self._rollouts.side(call.service, call.session, call.is_in_session)
-        fits = self._fits(call, side)
+        assignment = self._rollouts.assignment(
+            call.service, call.session, call.is_in_session
+        )
+        fits = self._fits(call, assignment)
         # The share of an unproved version is one of all its endpoints.
-        is_unproved = side is not None and self._rollouts.is_narrow(side)
-        around = directory_rows.Around(self._hall, call.place, fits)
+        is_canary = assignment is not None and self._rollouts.is_canary_limited(
+            assignment
+        )
+        around = directory_rows.CandidateScope(self._hall, call.place, fits)
         usable = self._directory.usable(
-            call.service, call.excluded, None if is_unproved else around, fits
+            call.service, call.excluded, None if is_canary else around, fits
         )
         fitting = [e for e in usable if fits(e)]
-        narrowed = self._rollouts.narrow(
-            side,
+        narrowed = self._rollouts.allowed_endpoints(
+            assignment,
             [e.name for e in fitting],
             [e.name for e in fitting if e.row.hall == self._hall],
         )
@@ -171,13 +175,13 @@
         )
 
     def _fits(
-        self, call: gateway_call.Call, side: rollout_state.Side | None
+        self, call: gateway_call.Call, assignment: rollout_state.Assignment | None
     ) -> endpoint_index.Test:
         """Make the test of endpoints that may run a call, whenever that is."""
         has_homes = bool(call.route.regions or _own_regions(call))
 
         def fits(e: endpoint_state.Endpoint) -> bool:
-            takes = side is None or side.takes(e.row.version)
+            takes = assignment is None or assignment.takes(e.row.version)
             return takes and (not has_homes or self._may_run_in(call, e.row.hall))
 
         return fits
@@ -187,8 +191,10 @@
 
         :returns: ``None`` where there are none, or one of them takes any number.
         """
-        side = self._rollouts.side(call.service, call.session, call.is_in_session)
-        fits = self._fits(call, side)
+        assignment = self._rollouts.assignment(
+            call.service, call.session, call.is_in_session
+        )
+        fits = self._fits(call, assignment)
         known = self._directory.turns(call.service, call.excluded)
         turns = [turn for endpoint, turn in known if fits(endpoint)]
         next_at = min((turn.next_at for turn in turns), default=-clock.NEVER)
@@ -198,11 +204,15 @@
 
     def living(self, call: gateway_call.Call) -> tuple[int, int]:
         """Count the endpoints that may run a call and are not dark, and all of them."""
-        side = self._rollouts.side(call.service, call.session, call.is_in_session)
-        living, count = self._directory.living(call.service, self._fits(call, side))
+        assignment = self._rollouts.assignment(
+            call.service, call.session, call.is_in_session
+        )
+        living, count = self._directory.living(
+            call.service, self._fits(call, assignment)
+        )
         return len(living), count
 
-    def is_shut_out(self, call: gateway_call.Call) -> bool:
+    def has_no_permitted_hall(self, call: gateway_call.Call) -> bool:
         """Whether all endpoints stand where a call may not run, so none is awaited."""
         halls = self._directory.halls_of(call.service)
         open_halls = halls - self._directory.emptied
@@ -217,18 +227,18 @@
     def note_end(self, call: gateway_call.Call) -> None:
         """Note that a call is over: a session's rest begins."""
         if call.is_in_session:
-            self._rollouts.note_session_end(call.service, call.session)
+            self._rollouts.record_session_end(call.service, call.session)
 
     def _is_avoided(
         self, call: gateway_call.Call, endpoint: endpoint_state.Endpoint, now: float
     ) -> bool:
-        if endpoint.is_doubted:
+        if endpoint.is_suspected:
             return not self._may_try(call)
-        if not self._directory.is_set_aside(endpoint, now):
+        if not self._directory.is_ejected(endpoint, now):
             # The first request after a pause is a trial; not with one that may not
             # be repeated.
-            return bool(endpoint.paused_until) and not call.route.repeatable
-        if now < endpoint.paused_until or endpoint.on_trial:
+            return bool(endpoint.ejected_until) and not call.route.repeatable
+        if now < endpoint.ejected_until or endpoint.probe_in_flight:
             return True
         return not self._may_try(call)
 
@@ -245,7 +255,7 @@
         by_name = {e.name: e for e in endpoints}
         candidates = [
             self._candidate(e, prompts[e.name], unread, max(1.0, mean_prompt))
-            for e, unread in zip(endpoints, self._directory.unread_at(endpoints))
+            for e, unread in zip(endpoints, self._directory.unread_tokens(endpoints))
         ]
         chosen = self._routing.choose(candidates, self._rng)
         return None if chosen is None else by_name[chosen.name]
@@ -278,7 +288,7 @@
             same_hall=endpoint.row.hall == self._hall,
             holds_prefix=False,
             unread=(unread + prompt.reading) / mean_prompt,
-            kept=prompt.kept,
+            cached=prompt.cached,
         )
 
 
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -9,15 +9,15 @@
 import typing
 
 from gaprock import (
-    absences,
     clock,
     errorcodes,
     gateway_call,
     gateway_choose,
     gateway_quarantine,
-    paced_line,
+    outages,
+    paced_queue,
     rate_pacing,
-    return_times,
+    retry_schedule,
 )
 
 # A call for which no endpoint is usable is looked at again after this long, and
@@ -35,14 +35,14 @@
 class Finder:
     """Finds endpoints; safe for all threads.
 
-    :param line: who waits for endpoints that take only so many requests a second.
+    :param queue: who waits for endpoints that take only so many requests a second.
     """
 
     __slots__ = (
         "_clock",
         "_chooser",
         "_gate",
-        "_line",
+        "_queue",
         "_rng",
         "_returns",
         "_absences",
@@ -53,19 +53,19 @@
         clock_: clock.Clock,
         chooser: gateway_choose.Chooser,
         gate: gateway_quarantine.Gate,
-        line: paced_line.PacedLine,
+        queue: paced_queue.PacedQueue,
     ) -> None:
         self._clock = clock_
         self._chooser = chooser
         self._gate = gate
-        self._line = line
+        self._queue = queue
         self._rng = random.Random()
-        self._returns = return_times.ReturnTimes()
-        self._absences = absences.Absences()
+        self._returns = retry_schedule.RetrySchedule()
+        self._absences = outages.Outages()
 
     def note_sent(self, call: gateway_call.Call) -> None:
         """Note that an endpoint took a call."""
-        self._absences.note_there(call.service, self._clock.now())
+        self._absences.record_recovery(call.service, self._clock.now())
 
     def note_end(self) -> None:
         """Note that a request ended and left room."""
@@ -103,7 +103,7 @@
         :raises gateway_call.GivenUp: when its halls are emptied, or each endpoint that
             may run it is gone or took no connection a moment ago.
         """
-        if self._chooser.is_shut_out(call):
+        if self._chooser.has_no_permitted_hall(call):
             raise self._shut_out(call)
         living, _ = self._chooser.living(call)
         if not living:
@@ -113,7 +113,7 @@
         self, call: gateway_call.Call, reply: gateway_call.Reply, model: str
     ) -> gateway_choose.Choice | None:
         """Choose an endpoint; whoever waits for one already goes first."""
-        if self._line.is_empty(call.service):
+        if self._queue.is_empty(call.service):
             chosen = self._chooser.endpoint(call, model)
             if chosen is not None:
                 return chosen
@@ -136,14 +136,14 @@
         """
         latest_at = call.inbound.arrived_at + TURN_SHARE * call.route.goal_s
         latest_at = min(latest_at, call.deadline)
-        place = self._line.enter(call)
+        place = self._queue.enter(call)
         try:
             while turn is not None:
-                if self._line.is_first(call, place):
+                if self._queue.is_first(call, place):
                     chosen = self._chooser.endpoint(call, model)
                     if chosen is not None:
                         return chosen
-                if self._line.sent_at(call, place, turn) > latest_at:
+                if self._queue.sent_at(call, place, turn) > latest_at:
                     if call.excluded and not call.has_run:
                         # One that refused it may have room by now.
                         call.excluded.clear()
@@ -154,7 +154,7 @@
                 turn = self._chooser.turn(call)
             return None
         finally:
-            self._line.leave(call, place)
+            self._queue.leave(call, place)
 
     def _paced_out(
         self, call: gateway_call.Call, turn: rate_pacing.Turn
@@ -164,7 +164,7 @@
             return self.unknown(call, "endpoints take no more")
         now = self._clock.now()
         caller_s = call.wait_until - now
-        retry_s = self._line.come_back_s(call, turn, now, caller_s)
+        retry_s = self._queue.retry_after_s(call, turn, now, caller_s)
         detail = f"{turn.per_s:.2g} a second, next in {turn.next_at - now:.2g} s"
         return gateway_call.GivenUp(errorcodes.PACED, detail, retry_s)
 
@@ -184,9 +184,9 @@
         if call.has_run:
             return self.unknown(call, "all endpoints are dark")
         now = self._clock.now()
-        self._absences.note_gone(call.service, now)
+        self._absences.record_outage(call.service, now)
         caller_s = call.wait_until - now
-        retry_s = self._absences.come_back_s(call.service, now, caller_s)
+        retry_s = self._absences.retry_after_s(call.service, now, caller_s)
         return gateway_call.GivenUp(errorcodes.NO_ENDPOINT, "all are dark", retry_s)
 
     def _shut_out(self, call: gateway_call.Call) -> gateway_call.GivenUp:
--- a/gaprock/gateway_judge.py
+++ b/gaprock/gateway_judge.py
@@ -14,7 +14,7 @@
     eventlog,
     gateway_attempt,
     gateway_call,
-    rollout_pace,
+    rollout_latency,
     rollouts,
 )
 
@@ -57,10 +57,14 @@
         if failed:
             call.failed_on.add(version)
         took_s = None if call.info.resume_after is not None else self._took(attempt)
-        judged = rollout_pace.Judged(failed, took_s, self._expected(call, attempt))
+        judged = rollout_latency.VersionSample(
+            failed, took_s, self._expected(call, attempt)
+        )
         self._judge(call, attempt, call.route.name, judged)
 
-    def waits(self, call: gateway_call.Call, attempt: gateway_attempt.Attempt) -> None:
+    def judge_pending(
+        self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
+    ) -> None:
         """Take that a send has no answer yet, or ends without one."""
         if attempt.is_judged or not attempt.sent_at:
             return
@@ -68,17 +72,17 @@
             return
         if call.info.resume_after is not None:
             return
-        judged = rollout_pace.Judged(
+        judged = rollout_latency.VersionSample(
             False, self._took(attempt), self._expected(call, attempt), is_open=True
         )
         if self._judge(call, attempt, call.route.name, judged):
             attempt.is_judged = True
 
-    def looks_at_breaks(self, call: gateway_call.Call) -> bool:
+    def judges_breaks(self, call: gateway_call.Call) -> bool:
         """Whether an answer that breaks off says something of its version."""
         return self._rollouts.is_judged(call.service)
 
-    def broke(
+    def record_broken_answer(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt, lives: bool
     ) -> None:
         """Take that an answer broke off.
@@ -87,18 +91,20 @@
             fault of its version, and has many answers break off at once.
         """
         self._directory.answered(attempt.endpoint, failed=True)
-        if not lives or not self.looks_at_breaks(call):
+        if not lives or not self.judges_breaks(call):
             return
         attempt.is_judged = True
-        judged = rollout_pace.Judged(True, None)
+        judged = rollout_latency.VersionSample(True, None)
         self._judge(call, attempt, call.route.name, judged)
 
-    def paced(self, call: gateway_call.Call, attempt: gateway_attempt.Attempt) -> None:
+    def judge_event_gaps(
+        self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
+    ) -> None:
         """Take the time between a whole stream's events."""
         if call.events < MIN_PACE_EVENTS:
             return
         pace_s = (call.wrote_at - call.first_at) / (call.events - 1)
-        judged = rollout_pace.Judged(False, pace_s)
+        judged = rollout_latency.VersionSample(False, pace_s)
         self._judge(call, attempt, f"{call.route.name}~pace", judged)
 
     def _took(self, attempt: gateway_attempt.Attempt) -> float:
@@ -120,14 +126,14 @@
         call: gateway_call.Call,
         attempt: gateway_attempt.Attempt,
         route: str,
-        judged: rollout_pace.Judged,
+        judged: rollout_latency.VersionSample,
     ) -> str:
         """Hand evidence on; give what it holds against the version."""
         version = attempt.endpoint.row.version
         against = self._rollouts.judge_answer(
             call.service, version, route, attempt.model, judged
         )
-        if against and self._rollouts.is_unproved(call.service, version):
+        if against and self._rollouts.is_canary(call.service, version):
             eventlog.info(
                 "version-bad-answer",
                 request=call.info.request,
--- a/gaprock/gateway_metrics.py
+++ b/gaprock/gateway_metrics.py
@@ -29,7 +29,7 @@
         "store_epoch",
         "store_restores",
         "store_calls",
-        "odd_rows",
+        "invalid_rows",
         "requests_held",
         "endpoints_limited",
         "sends_paced",
@@ -155,7 +155,7 @@
             "Sends that a backoff stopped at the last look before they left",
             registry=registry,
         )
-        self.odd_rows = prometheus_client.Gauge(
+        self.invalid_rows = prometheus_client.Gauge(
             "gaprock_odd_rows",
             "Rows that could not be used since the start, by table",
             ["table"],
--- a/gaprock/gateway_models.py
+++ b/gaprock/gateway_models.py
@@ -14,7 +14,7 @@
     gateway_attempt,
     gateway_call,
     mechanisms,
-    paced_line,
+    paced_queue,
     policy_api,
     prefix_cache,
     retry_window,
@@ -23,7 +23,7 @@
 )
 
 # Repeats that are left to failures before models are climbed, per service.
-CLIMB_RESERVE: typing.Final = 4.0
+ESCALATION_RESERVE: typing.Final = 4.0
 
 
 class ModelPicker:
@@ -31,7 +31,7 @@
 
     :param services: the services of the configuration in force, by name.
     :param hall: the hall that this gateway stands in.
-    :param line: who waits for a first send.
+    :param queue: who waits for a first send.
     """
 
     __slots__ = (
@@ -42,7 +42,7 @@
         "_budget",
         "_services",
         "_hall",
-        "_line",
+        "_queue",
     )
 
     def __init__(
@@ -54,7 +54,7 @@
         budget: retry_window.RetryWindow,
         services: typing.Callable[[], dict[str, routes.Service]],
         hall: str = "",
-        line: paced_line.PacedLine | None = None,
+        queue: paced_queue.PacedQueue | None = None,
     ) -> None:
         self._clock = clock_
         self._directory = directory_
@@ -63,7 +63,7 @@
         self._budget = budget
         self._services = services
         self._hall = hall
-        self._line = line or paced_line.PacedLine()
+        self._queue = queue or paced_queue.PacedQueue()
 
     def first(self, call: gateway_call.Call) -> str:
         """Choose the model; empty where the caller named it."""
@@ -87,7 +87,7 @@
             return ""
         ask = self._ask(call)
         self._learn(call, attempt)
-        larger = self._choice.climb(ask, attempt.model, head.confidence)
+        larger = self._choice.escalate(ask, attempt.model, head.confidence)
         call.opinion = (attempt.model, head.confidence)
         eventlog.info(
             "model",
@@ -108,12 +108,12 @@
         if model != attempt.model and before is not None and after is not None:
             self._choice.learn(model, before, attempt.model, after)
 
-    def note_first(
+    def record_first(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
     ) -> None:
         """Learn from the time to a first event."""
         took_s = self._clock.now() - attempt.sent_at
-        if self._rollouts.is_unproved(call.service, attempt.endpoint.row.version):
+        if self._rollouts.is_canary(call.service, attempt.endpoint.row.version):
             return
         pace = self._directory.pace
         pace.observe(call.service, attempt.tokens_ahead, took_s)
@@ -130,13 +130,13 @@
             known.get(name, routes.ModelCost(name, 0.0)) for name in call.route.models
         ]
         now = self._clock.now()
-        reserve = CLIMB_RESERVE if mechanisms.CLIMB_RESERVE.on else 0.0
+        reserve = ESCALATION_RESERVE if mechanisms.ESCALATION_RESERVE.on else 0.0
         budget_left = int(self._budget.left(call.service, now) - reserve)
         # Before the first send, that send itself is not a climb.
         sends_left = call.sends_left if call.sends else call.sends_left - 1
-        around = directory_rows.Around(self._hall, call.place, lambda e: True)
+        around = directory_rows.CandidateScope(self._hall, call.place, lambda e: True)
         usable = self._directory.usable(call.service, call.excluded, around)
-        if not self._line.is_empty(call.service) or call.sends and not usable:
+        if not self._queue.is_empty(call.service) or call.sends and not usable:
             # A climb would take the send that another request waits for, or drop an
             # answer for one that nobody can make now.
             sends_left = 0
@@ -161,11 +161,11 @@
     ) -> float:
         """Give the seconds that a model's first event would take where it is least."""
         weight = self._directory.pace.weight(service, model)
-        marks = prefix_cache.marks_of(model, call.info.parts)
+        hashes = prefix_cache.prefix_hashes(model, call.info.parts)
         tokens_in = call.info.tokens_in
         tokens = min(
             (
-                self._directory.unread(e) + e.prompt(marks, tokens_in, weight).reading
+                self._directory.unread(e) + e.prompt(hashes, tokens_in, weight).reading
                 for e in usable
             ),
             default=weight * tokens_in,
--- a/gaprock/gateway_node.py
+++ b/gaprock/gateway_node.py
@@ -26,7 +26,7 @@
     gateway_judge,
     gateway_metrics,
     gateway_models,
-    gateway_own,
+    gateway_own_rows,
     gateway_quarantine,
     gateway_relay,
     gateway_rows,
@@ -36,7 +36,7 @@
     ids,
     mesh,
     options,
-    paced_line,
+    paced_queue,
     periodic,
     plugin,
     policy_api,
@@ -101,8 +101,8 @@
         self.dialect = dialect
         self.metrics = gateway_metrics.GatewayMetrics()
         self.store = store = gateway_store.CountedStore(store, self.metrics)
-        self.epochs = store_epochs.EpochBook(clock_)
-        store.watch_epoch(lambda epoch: self.epochs.note(epoch, "store"))
+        self.epochs = store_epochs.EpochTracker(clock_)
+        store.watch_epoch(lambda epoch: self.epochs.record(epoch, "store"))
         bounds = cfg.bounds
         evidence_ = evidence.EvidenceBook(f"{cfg.vm}/{ids.new_token()}")
         self.directory = directory.Directory(
@@ -113,10 +113,10 @@
                 cfg.vm,
                 lambda: cfg.bounds,
                 self._services,
-                lambda: self.mesh.most_gateways(),
+                lambda: self.mesh.peak_gateways(),
             ),
-            endpoint_notices.NoticeBook(
-                clock_, rate_pacing.Pacer(clock_, lambda: self.mesh.most_gateways())
+            endpoint_notices.EndpointNotices(
+                clock_, rate_pacing.Pacer(clock_, lambda: self.mesh.peak_gateways())
             ),
         )
         self.rollouts = rollouts.Rollouts(
@@ -138,7 +138,7 @@
             evidence_,
             self.quarantine,
         )
-        self.mesh.on_old_here = self._on_old
+        self.mesh.own_on_old_version = self._on_old
         self.store_clock = freshness.StoreClock()
         self.writer = rollout_writer.RolloutWriter(
             clock_,
@@ -150,13 +150,13 @@
             self.epochs,
         )
         self.orders = gateway_rows.OrderRows(
-            clock_, dialect, self.rollouts, self.directory.set_emptied
+            clock_, dialect, self.rollouts, self.directory.set_cordoned
         )
         self.followers = self._make_followers()
         self.mesh.source = row_exchange.RowExchange(
             self.followers, clock_, self.epochs, self.orders
         )
-        self.own_rows = gateway_own.OwnRowsTask(
+        self.own_rows = gateway_own_rows.OwnRowsTask(
             cfg.vm,
             clock_,
             self.store_clock,
@@ -174,7 +174,7 @@
             bounds.budget_ratio,
             bounds.budget_allowance,
             bounds.budget_window_s,
-            lambda: self.mesh.most_gateways(),
+            lambda: self.mesh.peak_gateways(),
         )
         self.server = self._make_server()
         self.leaving = False
@@ -278,7 +278,7 @@
         outcome_rows = gateway_rows.OutcomeRows(
             self.clock, self.dialect, self.rollouts, self.writer
         )
-        self._odd = [self.orders.odd, endpoint_rows.odd, outcome_rows.odd]
+        self._odd = [self.orders.invalid, endpoint_rows.invalid, outcome_rows.invalid]
         gather_s = GATHER_SHARE * self.cfg.bounds.drain_s
         cfg = self.cfg
         return [
@@ -305,7 +305,7 @@
         :param bound_s: within which a change has to be in force, seconds.
         """
         fresh = freshness.Freshness(
-            self.clock, self.store_clock, bound_s, self.mesh.leads
+            self.clock, self.store_clock, bound_s, self.mesh.is_first_reader
         )
         return followers.Follower(
             table,
@@ -317,7 +317,7 @@
             self.mesh.has_readers,
             lambda: self.directory.store_returned(self.mesh.store_back_at()),
             lambda: self.cfg.first_start and self.mesh.awaits_readers(),
-            self.mesh.tries_for_us,
+            self.mesh.peers_probe_store,
             self.epochs,
         )
 
@@ -334,7 +334,7 @@
         )
         judge = gateway_judge.AnswerJudge(self.clock, self.directory, self.rollouts)
         gate = gateway_quarantine.Gate(self.clock, self.directory, self.quarantine)
-        line = paced_line.PacedLine()
+        queue = paced_queue.PacedQueue()
         self._sender = gateway_sender.Sender(
             self.clock, self.dialect, self.directory, self.metrics, judge, gate
         )
@@ -346,7 +346,7 @@
             self.budget,
             self._services,
             cfg.hall,
-            line,
+            queue,
         )
         relay = gateway_relay.Relay(
             self.clock,
@@ -368,7 +368,7 @@
             self.budget,
             self.metrics,
             self._max_calls(),
-            gateway_find.Finder(self.clock, chooser, gate, line),
+            gateway_find.Finder(self.clock, chooser, gate, queue),
             self._is_stale,
             lambda: self.is_ready,
         )
@@ -391,7 +391,9 @@
         """Give our requests on the old version of a service."""
         for rollout in self.rollouts.all():
             if rollout.order.service == service:
-                return self.directory.running_besides(service, rollout.order.to_version)
+                return self.directory.running_on_other_versions(
+                    service, rollout.order.to_version
+                )
         return 0
 
     def _is_stale(self) -> bool:
@@ -418,7 +420,7 @@
         if not self.port.is_accepting:
             eventlog.warning("not-accepting", open=self.server.open_calls)
         self.directory.forget_gone()
-        self.orders.believe_rows()
+        self.orders.end_restore_grace()
         self._sender.settle_breaks()
         self.quarantine.forget_old()
         table = self.orders.table
@@ -436,8 +438,8 @@
         table = self.orders.table
         self.metrics.config_number.set(table.number if table else 0)
         self.metrics.log_lines_dropped.set(eventlog.dropped_lines())
-        for odd in self._odd:
-            self.metrics.odd_rows.labels(odd.table).set(odd.count)
+        for invalid in self._odd:
+            self.metrics.invalid_rows.labels(invalid.table).set(invalid.count)
         self.metrics.store_epoch.set(self.epochs.newest)
         self.metrics.store_restores.set(self.epochs.restores)
         self.metrics.requests_held.set(self.quarantine.held_count)
@@ -446,14 +448,14 @@
             gauge = self.metrics.store_connected.labels(follower.table)
             gauge.set(follower.connected)
             age = self.metrics.store_proof_age.labels(follower.table)
-            age.set(self.clock.now() - follower.fresh.proved_at)
+            age.set(self.clock.now() - follower.fresh.verified_at)
         return 200, self.metrics.render()
 
-    def _set_notice_metrics(self, notices: endpoint_notices.NoticeBook) -> None:
+    def _set_notice_metrics(self, notices: endpoint_notices.EndpointNotices) -> None:
         """Count what endpoints say of themselves."""
         self.metrics.endpoints_limited.set(len(notices.pacer.limits.lives()))
         self.metrics.sends_paced.set(notices.pacer.paced)
         self.metrics.endpoints_leaving.set(len(notices.departures.lives()))
         self.metrics.endpoints_backing_off.set(notices.backoffs.count())
         self.metrics.backoffs.set(notices.backoffs.asked)
-        self.metrics.sends_backed_off.set(notices.backoffs.avoided)
+        self.metrics.sends_backed_off.set(notices.backoffs.stopped_sends)
--- a/gaprock/gateway_own.py
+++ b/gaprock/gateway_own_rows.py
@@ -83,7 +83,7 @@
         writer: rollout_writer.RolloutWriter,
         followers_: list[followers.Follower],
         is_first_start: bool = False,
-        epochs: store_epochs.EpochBook | None = None,
+        epochs: store_epochs.EpochTracker | None = None,
     ) -> None:
         self._name = name
         self._clock = clock_
@@ -100,7 +100,7 @@
         self._is_announced = not mesh_.address
         # When our row was last written; our start, if it stood there before.
         self._announced_at = clock_.now()
-        self._epochs = epochs or store_epochs.EpochBook(clock_)
+        self._epochs = epochs or store_epochs.EpochTracker(clock_)
         # The store's epoch in which the row was written.
         self._epoch = -1
         self._stopped = threading.Event()
@@ -157,12 +157,14 @@
             self._retry_s = max(RETRY_S, exc.retry_s)
             eventlog.warning("own-rows", error=exc)
             return False
-        self._store_clock.note(page.store_now, asked_at, self._clock.now())
+        self._store_clock.record(page.store_now, asked_at, self._clock.now())
         own = gateway_rows.OwnRows(self._clock, page, self._store_clock)
         self._is_announced = (
             self._is_announced or own.peers.get(self._name) == self._row
         )
-        found = [mesh_members.Found(r.address, r.hall, n) for n, r in own.peers.items()]
+        found = [
+            mesh_members.PeerAddress(r.address, r.hall, n) for n, r in own.peers.items()
+        ]
         self._mesh.found(found)
         if self._epoch < 0:
             self._epoch = self._epochs.newest
--- a/gaprock/gateway_quarantine.py
+++ b/gaprock/gateway_quarantine.py
@@ -61,9 +61,9 @@
 
     def held_s(self, call: gateway_call.Call) -> float:
         """Give for how much longer a call is held back, seconds; 0 if it is not."""
-        return 0.0 if self._book.is_empty else self._book.holds(call.mark)
+        return 0.0 if self._book.is_empty else self._book.held_for_s(call.mark)
 
-    def is_to_be_withdrawn(
+    def should_withdraw(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
     ) -> bool:
         """Whether a send is taken back: its request is held, and may not have begun.
@@ -80,7 +80,7 @@
         Of tries that run side by side each ends an endpoint before any of them is known
         to.
         """
-        if self._book.is_empty or not self._book.suspects(call.mark):
+        if self._book.is_empty or not self._book.is_suspected(call.mark):
             return False
         with self._lock:
             before = list(self._open)
@@ -105,7 +105,7 @@
         ends = self._book.ends(call.mark)
         return bool(ends) and quarantine.spares(ends, *living(call))
 
-    def note_whole(self, call: gateway_call.Call) -> None:
+    def record_success(self, call: gateway_call.Call) -> None:
         """Take that a call was answered whole."""
         if not self._book.is_empty:
             self._book.clear(call.mark)
@@ -118,15 +118,17 @@
             return 0
         # A plain service answers when it is done, so nothing shows when it began.
         may_wait = call.route.kind is routes.RouteKind.STREAM
-        return quarantine.weight_of(attempt.begun_for(self._clock.now()), may_wait)
+        return quarantine.suspicion_weight(
+            attempt.begun_for(self._clock.now()), may_wait
+        )
 
-    def broke(
+    def record_broken_answer(
         self, call: gateway_call.Call, endpoint: endpoint_state.Endpoint, weight: int
     ) -> None:
         """Take that an answer broke off; whether its endpoint ended may show later."""
         with self._lock:
             self._cuts.setdefault(endpoint, []).append(Cut(call, weight))
-        if endpoint.is_dark or endpoint.is_over:
+        if endpoint.is_unreachable or endpoint.is_over:
             self._blame(endpoint)
 
     def lives(self, endpoint: endpoint_state.Endpoint) -> None:
@@ -134,16 +136,16 @@
         with self._lock:
             self._cuts.pop(endpoint, None)
 
-    def settle(
+    def resolve_broken(
         self, connects: typing.Callable[[endpoint_state.Endpoint], bool]
     ) -> None:
         """Look at the endpoints of which it is not known whether they ended."""
         with self._lock:
             waiting = list(self._cuts)
         for endpoint in waiting:
-            if endpoint.is_dark or endpoint.is_over:
+            if endpoint.is_unreachable or endpoint.is_over:
                 self._blame(endpoint)
-            elif self._directory.claim_check(endpoint):
+            elif self._directory.claim_connection_check(endpoint):
                 if connects(endpoint):
                     self.lives(endpoint)
                 else:
@@ -161,4 +163,4 @@
                 endpoint=endpoint.name,
                 weight=cut.weight,
             )
-            self._book.note(cut.call.mark, endpoint.life, cut.weight)
+            self._book.note(cut.call.mark, endpoint.incarnation, cut.weight)
--- a/gaprock/gateway_relay.py
+++ b/gaprock/gateway_relay.py
@@ -11,6 +11,7 @@
     clock,
     directory,
     errorcodes,
+    event_source,
     event_stream,
     eventlog,
     gateway_attempt,
@@ -19,7 +20,6 @@
     gateway_models,
     gateway_quarantine,
     gateway_sender,
-    gateway_source,
     http_exchange,
 )
 
@@ -93,7 +93,7 @@
         sends: Sends,
         model: str,
         resume_after: int | None,
-    ) -> tuple[gateway_source.Source, list[event_stream.Event] | None]:
+    ) -> tuple[event_source.EventSource, list[event_stream.Event] | None]:
         """Get an answer that is accepted, with its first events.
 
         :returns: the source, and ``None`` instead of events for an answer that is no
@@ -107,8 +107,8 @@
                     raise sends.unknown(call, str(exc)) from exc
                 sends.take_repeat(call, str(exc))
                 continue
-            source = gateway_source.Source(attempt, self._clock, self.directory)
-            self._models.note_first(call, attempt)
+            source = event_source.EventSource(attempt, self._clock, self.directory)
+            self._models.record_first(call, attempt)
             try:
                 larger = self._models.larger(call, attempt)
                 if larger:
@@ -124,7 +124,7 @@
                 events = self._first_events(call, sends, source)
                 self._judge.answered(call, attempt, failed=False)
                 return source, events
-            except gateway_source.Broken as exc:
+            except event_source.Broken as exc:
                 attempt.finish(self.directory)
                 detail = str(exc)
                 self._note_broken(call, attempt, detail)
@@ -136,11 +136,11 @@
                 raise
 
     def _first_events(
-        self, call: gateway_call.Call, sends: Sends, source: gateway_source.Source
+        self, call: gateway_call.Call, sends: Sends, source: event_source.EventSource
     ) -> list[event_stream.Event]:
         """Wait for the first events; none for a stream that has nothing more.
 
-        :raises gateway_source.Broken: when none came, and another endpoint is worth it.
+        :raises event_source.Broken: when none came, and another endpoint is worth it.
         """
         heard_at = self._clock.now()
         patience_s = gateway_sender.LOST_GAPS * call.route.gap_s
@@ -149,13 +149,13 @@
             try:
                 return source.next_events(min(call.deadline, look_at))
             except http_exchange.TimedOut as exc:
-                self._judge.waits(call, source.attempt)
+                self._judge.judge_pending(call, source.attempt)
                 reason = self._sender.lost_reason(
                     call, source.attempt, heard_at, patience_s
                 )
                 is_final = reason in gateway_attempt.FINAL
                 if is_final or reason and sends.may_repeat(call):
-                    raise gateway_source.Broken(reason) from exc
+                    raise event_source.Broken(reason) from exc
 
     def _fails_over(
         self,
@@ -168,7 +168,7 @@
         self._judge.answered(call, attempt, failed)
         if not failed or not sends.may_repeat(call):
             return False
-        call.excluded.add(attempt.endpoint.life)
+        call.excluded.add(attempt.endpoint.incarnation)
         attempt.finish(self.directory)
         sends.take_repeat(call, f"status {attempt.head.status}")
         return True
@@ -177,7 +177,7 @@
         self,
         call: gateway_call.Call,
         reply: gateway_call.Reply,
-        source: gateway_source.Source,
+        source: event_source.EventSource,
     ) -> None:
         """Give an answer that is no stream as it is."""
         head = source.attempt.head
@@ -194,7 +194,7 @@
         call: gateway_call.Call,
         reply: gateway_call.Reply,
         sends: Sends,
-        first: gateway_source.Source,
+        first: event_source.EventSource,
         events: list[event_stream.Event],
     ) -> bool:
         """Relay events to the whole end, going on elsewhere after a failure.
@@ -202,13 +202,13 @@
         :returns: whether the caller has all; otherwise its answer was broken off.
         """
         last = call.info.resume_after
-        source: gateway_source.Source | None = first
+        source: event_source.EventSource | None = first
         while source is not None:
             try:
                 self._relay_one(call, reply, sends, source, events, last)
                 if source is first:
-                    self._judge.paced(call, source.attempt)
-                self._gate.note_whole(call)
+                    self._judge.judge_event_gaps(call, source.attempt)
+                self._gate.record_success(call)
                 return True
             except _Stopped as exc:
                 last, detail = exc.last, exc.detail
@@ -233,7 +233,7 @@
         call: gateway_call.Call,
         reply: gateway_call.Reply,
         sends: Sends,
-        source: gateway_source.Source,
+        source: event_source.EventSource,
         events: list[event_stream.Event],
         last: int | None,
     ) -> None:
@@ -254,7 +254,7 @@
             look_at = self._clock.now() + gateway_sender.LOOK_S
             try:
                 events = source.next_events(min(call.deadline, look_at))
-            except gateway_source.Broken as exc:
+            except event_source.Broken as exc:
                 raise _Stopped(str(exc), last) from exc
             except http_exchange.TimedOut as exc:
                 self._look(call, sends, source, heard_at, last, exc)
@@ -268,7 +268,7 @@
         self,
         call: gateway_call.Call,
         sends: Sends,
-        source: gateway_source.Source,
+        source: event_source.EventSource,
         heard_at: float,
         last: int | None,
         exc: Exception,
@@ -291,7 +291,7 @@
         model: str,
         last: int | None,
         detail: str,
-    ) -> gateway_source.Source | None:
+    ) -> event_source.EventSource | None:
         """Open the rest of a stream at another endpoint, with the same model."""
         while last is not None and sends.may_repeat(call):
             sends.take_repeat(call, f"resume after {last}: {detail}")
@@ -307,9 +307,9 @@
                     endpoint=attempt.endpoint.name,
                     after=last,
                 )
-                return gateway_source.Source(attempt, self._clock, self.directory)
+                return event_source.EventSource(attempt, self._clock, self.directory)
             attempt.finish(self.directory)
-            call.excluded.add(attempt.endpoint.life)
+            call.excluded.add(attempt.endpoint.incarnation)
             detail = f"status {attempt.head.status}"
         return None
 
@@ -317,12 +317,12 @@
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt, detail: str
     ) -> None:
         if detail not in (gateway_attempt.DEADLINE, gateway_attempt.HELD):
-            call.excluded.add(attempt.endpoint.life)
+            call.excluded.add(attempt.endpoint.incarnation)
         if detail == gateway_attempt.HELD:
             # We took it back; its endpoint is not to blame.
             pass
         elif detail == gateway_attempt.DEADLINE:
-            self._judge.waits(call, attempt)
+            self._judge.judge_pending(call, attempt)
             self.directory.answered(attempt.endpoint, failed=True)
         else:
             self._sender.note_break(call, attempt)
--- a/gaprock/gateway_rows.py
+++ b/gaprock/gateway_rows.py
@@ -1,6 +1,6 @@
 """Takes the rows of the shared store into force: routes, endpoints, rollouts.
 
-A row that cannot be decoded names nothing (``odd_rows``).
+A row that cannot be decoded names nothing (``invalid_rows``).
 """
 
 import threading
@@ -14,7 +14,7 @@
     eventlog,
     freshness,
     gateway_api,
-    odd_rows,
+    invalid_rows,
     rollout_state,
     rollout_writer,
     rollouts,
@@ -45,7 +45,7 @@
         self._doubted_until = -clock.NEVER
         # The store's epoch of the rows that were taken.
         self._epoch = 0
-        self.odd = odd_rows.OddRows("orders", clock_)
+        self.invalid = invalid_rows.InvalidRows("orders", clock_)
         # The configuration in force, and its row; ``None`` before the first one.
         self.table: routes.RouteTable | None = None
         self.config_row: gateway_api.Row | None = None
@@ -54,7 +54,7 @@
         # Starts of rollouts that were found in the store, by (service, revision).
         self.starts: dict[tuple[str, int], float] = {}
 
-    def take_page(self, page: gateway_api.Page, whole: bool) -> None:
+    def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         """Take changed rows, or the whole table."""
         is_restored = page.epoch > self._epoch
         self._epoch = page.epoch
@@ -65,7 +65,7 @@
             try:
                 self._take(row, row.value)
             except gateway_api.InvalidDocument as exc:
-                self.odd.note(row, exc)
+                self.invalid.record(row, exc)
 
     def _take_emptied(
         self, rows: list[gateway_api.Row], whole: bool, is_restored: bool
@@ -80,12 +80,12 @@
         ended = {hall for hall, value in named if hall and value is None}
         if is_restored:
             self._doubted = set(self._emptied)
-            self._doubted_until = self._clock.now() + store_epochs.REWRITTEN_S
+            self._doubted_until = self._clock.now() + store_epochs.RESTORE_GRACE_S
         self._doubted -= ordered | ended
         before = self._doubted if whole else self._emptied - ended
         self._set_emptied(before | ordered)
 
-    def believe_rows(self) -> None:
+    def end_restore_grace(self) -> None:
         """Drop the orders that a restored store lost and nobody has written again."""
         if self._doubted and self._clock.now() > self._doubted_until:
             doubted, self._doubted = self._doubted, set()
@@ -103,12 +103,12 @@
         """The number of the configuration in force; 0 before the first one."""
         return self.table.number if self.table is not None else 0
 
-    def take_config(self, row: gateway_api.Row) -> None:
+    def apply_config(self, row: gateway_api.Row) -> None:
         """Take the row of a configuration from a peer; an older one is not taken."""
         try:
             table = self._dialect.route_table(row.key, row.value or b"")
         except gateway_api.InvalidDocument as exc:
-            self.odd.note(row, exc)
+            self.invalid.record(row, exc)
             return
         if table is not None:
             self._take_table(table, row)
@@ -123,7 +123,7 @@
             found = self.starts.get((order.service, row.version))
             now = self._clock.now()
             started_at = now if found is None else min(found, now)
-            self._rollouts.take_order(order, row.version, started_at, self._epoch)
+            self._rollouts.add_order(order, row.version, started_at, self._epoch)
 
     def _take_table(self, table: routes.RouteTable, row: gateway_api.Row) -> None:
         with self._lock:
@@ -147,23 +147,23 @@
 class EndpointRows:
     """The endpoints' rows."""
 
-    __slots__ = ("_dialect", "_directory", "_epochs", "_epoch", "odd")
+    __slots__ = ("_dialect", "_directory", "_epochs", "_epoch", "invalid")
 
     def __init__(
         self,
         clock_: clock.Clock,
         dialect: gateway_api.Dialect,
         directory_: directory.Directory,
-        epochs: store_epochs.EpochBook | None = None,
+        epochs: store_epochs.EpochTracker | None = None,
     ) -> None:
         self._dialect = dialect
         self._directory = directory_
-        self._epochs = epochs or store_epochs.EpochBook(clock_)
+        self._epochs = epochs or store_epochs.EpochTracker(clock_)
         # The store's epoch of the rows that were taken; ``None`` before any.
         self._epoch: int | None = None
-        self.odd = odd_rows.OddRows("endpoints", clock_)
+        self.invalid = invalid_rows.InvalidRows("endpoints", clock_)
 
-    def take_page(self, page: gateway_api.Page, whole: bool) -> None:
+    def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         """Take changed rows, or the whole table."""
         found = {}
         for row in page.rows:
@@ -173,7 +173,7 @@
             try:
                 found[row.key] = self._dialect.endpoint(row.key, row.value)
             except gateway_api.InvalidDocument as exc:
-                self.odd.note(row, exc)
+                self.invalid.record(row, exc)
                 # What stood there before is written over: it names nothing any more.
                 self._directory.update(row.key, None)
         is_restored = self._epoch is not None and page.epoch > self._epoch
@@ -189,7 +189,7 @@
 class OutcomeRows:
     """The rows that tell what became of rollouts."""
 
-    __slots__ = ("_dialect", "_rollouts", "_writer", "odd")
+    __slots__ = ("_dialect", "_rollouts", "_writer", "invalid")
 
     def __init__(
         self,
@@ -201,9 +201,9 @@
         self._dialect = dialect
         self._rollouts = rollouts_
         self._writer = writer
-        self.odd = odd_rows.OddRows("outcomes", clock_)
+        self.invalid = invalid_rows.InvalidRows("outcomes", clock_)
 
-    def take_page(self, page: gateway_api.Page, whole: bool) -> None:
+    def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         """Take changed rows, or the whole table."""
         if page.epoch > self._writer.epoch:
             self._take_epoch(page)
@@ -213,7 +213,7 @@
             try:
                 self._take(row, row.value)
             except gateway_api.InvalidDocument as exc:
-                self.odd.note(row, exc)
+                self.invalid.record(row, exc)
 
     def _take_epoch(self, page: gateway_api.Page) -> None:
         """Begin a new epoch of the store, which may have lost outcomes."""
@@ -235,7 +235,7 @@
         known = self._writer.row_versions.get(service, 0)
         self._writer.row_versions[service] = max(known, row.version)
         outcome = rollout_state.Outcome(version, state, row.version, self._writer.epoch)
-        self._rollouts.take_outcome(service, outcome)
+        self._rollouts.apply_outcome(service, outcome)
 
 
 PEER_PREFIX: typing.Final = "peer/"
@@ -260,7 +260,7 @@
         page: gateway_api.Page,
         store_clock: freshness.StoreClock,
     ) -> None:
-        odd = odd_rows.OddRows("own", clock_)
+        invalid = invalid_rows.InvalidRows("own", clock_)
         # By the gateways' names.
         self.peers: dict[str, PeerRow] = {}
         self.starts: dict[tuple[str, int], float] = {}
@@ -270,14 +270,14 @@
             try:
                 self._take(row.key, row.value, store_clock)
             except gateway_api.InvalidDocument as exc:
-                odd.note(row, exc)
+                invalid.record(row, exc)
 
     def _take(self, key: str, value: bytes, store_clock: freshness.StoreClock) -> None:
         if key.startswith(PEER_PREFIX):
             name = key[len(PEER_PREFIX) :]
-            self.peers[name] = odd_rows.decode(PeerRow, value)
+            self.peers[name] = invalid_rows.decode(PeerRow, value)
         elif key.startswith(rollout_writer.START_PREFIX):
-            start = odd_rows.decode(rollout_writer.StartRow, value)
+            start = invalid_rows.decode(rollout_writer.StartRow, value)
             service = key[len(rollout_writer.START_PREFIX) :]
             # Too late a start is put right by the next beat, too early a one never is.
             started_at = store_clock.latest(start.started)
--- a/gaprock/gateway_sender.py
+++ b/gaprock/gateway_sender.py
@@ -87,7 +87,7 @@
             self.note_failure(call, attempt, outcome, str(exc))
             raise
         except BaseException:
-            self._judge.waits(call, attempt)
+            self._judge.judge_pending(call, attempt)
             attempt.finish(self._directory)
             raise
         return attempt
@@ -101,8 +101,8 @@
         try:
             attempt.exchange.connect(min(call.deadline, now + CONNECT_S))
         except http_exchange.Unreachable as exc:
-            self._directory.unreachable(attempt.endpoint, str(exc))
-            call.excluded.add(attempt.endpoint.life)
+            self._directory.eject(attempt.endpoint, str(exc))
+            call.excluded.add(attempt.endpoint.incarnation)
             raise gateway_attempt.NotRun(f"unreachable: {exc}") from exc
 
     def _hand_over(
@@ -143,11 +143,11 @@
                 raw = attempt.exchange.read_head(min(call.deadline, now + LOOK_S))
                 break
             except http_exchange.TimedOut:
-                self._judge.waits(call, attempt)
+                self._judge.judge_pending(call, attempt)
                 self._look(call, attempt, may_give_up)
             except http_exchange.Broken as exc:
                 call.has_run = True
-                call.excluded.add(endpoint.life)
+                call.excluded.add(endpoint.incarnation)
                 self.note_break(call, attempt)
                 raise gateway_attempt.Failed(str(exc)) from exc
         self._directory.heard(endpoint)
@@ -181,7 +181,7 @@
                 self.note_break(call, attempt)
                 raise gateway_attempt.Failed(f"body: {exc}") from exc
             except http_exchange.TimedOut as exc:
-                self._judge.waits(call, attempt)
+                self._judge.judge_pending(call, attempt)
                 reason = self._give_up_reason(call, attempt, heard_at, may_give_up)
                 if reason:
                     if reason != gateway_attempt.HELD:
@@ -206,7 +206,7 @@
             return
         call.has_run = True
         if reason != gateway_attempt.HELD:
-            call.excluded.add(attempt.endpoint.life)
+            call.excluded.add(attempt.endpoint.incarnation)
             self._directory.answered(attempt.endpoint, failed=True)
             self._note_end(call, attempt, reason)
         raise gateway_attempt.Failed(reason)
@@ -247,9 +247,9 @@
             return gateway_attempt.DEADLINE
         if endpoint.is_over:
             return gateway_attempt.STARTED_AGAIN
-        if self._gate.is_to_be_withdrawn(call, attempt):
+        if self._gate.should_withdraw(call, attempt):
             return gateway_attempt.HELD
-        if endpoint.is_dark or self._is_dark_now(attempt):
+        if endpoint.is_unreachable or self._is_dark_now(attempt):
             return gateway_attempt.UNREACHABLE
         is_full = endpoint.load > FREE_FILL * endpoint.row.slots
         if now - heard_at >= patience_s and not is_full:
@@ -262,13 +262,13 @@
         """Take that an answer broke off."""
         endpoint = attempt.endpoint
         weight = self._gate.weight(call, attempt)
-        lives = bool(weight) or self._judge.looks_at_breaks(call)
+        lives = bool(weight) or self._judge.judges_breaks(call)
         lives = lives and self._lives(endpoint)
-        self._judge.broke(call, attempt, lives)
+        self._judge.record_broken_answer(call, attempt, lives)
         if lives:
             self._gate.lives(endpoint)
         elif weight:
-            self._gate.broke(call, endpoint, weight)
+            self._gate.record_broken_answer(call, endpoint, weight)
 
     def _note_end(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt, reason: str
@@ -278,20 +278,24 @@
             return
         weight = self._gate.weight(call, attempt)
         if weight:
-            self._gate.broke(call, attempt.endpoint, weight)
+            self._gate.record_broken_answer(call, attempt.endpoint, weight)
 
     def settle_breaks(self) -> None:
         """Look at endpoints that broke answers off and were not looked at since."""
-        self._gate.settle(self._connects)
+        self._gate.resolve_broken(self._connects)
 
     def _is_dark_now(self, attempt: gateway_attempt.Attempt) -> bool:
         """Look at a silent endpoint: a busy one still takes connections."""
         endpoint = attempt.endpoint
-        return self._directory.claim_look(endpoint) and not self._connects(endpoint)
+        return self._directory.claim_silence_check(endpoint) and not self._connects(
+            endpoint
+        )
 
     def _lives(self, endpoint: endpoint_state.Endpoint) -> bool:
         """Whether an endpoint was just seen to take a connection."""
-        return self._directory.claim_check(endpoint) and self._connects(endpoint)
+        return self._directory.claim_connection_check(endpoint) and self._connects(
+            endpoint
+        )
 
     def _connects(self, endpoint: endpoint_state.Endpoint) -> bool:
         look = http_exchange.Exchange(
@@ -300,7 +304,7 @@
         try:
             look.connect(self._clock.now() + LOOK_CONNECT_S)
         except http_exchange.Unreachable as exc:
-            self._directory.unreachable(endpoint, f"silent or broke off, and {exc}")
+            self._directory.eject(endpoint, f"silent or broke off, and {exc}")
             return False
         finally:
             look.close()
@@ -327,17 +331,17 @@
         head, endpoint = attempt.head, attempt.endpoint
         if head.not_run:
             if not head.notice.backoff_s:
-                call.excluded.add(endpoint.life)
+                call.excluded.add(endpoint.incarnation)
             # A model that the caller named may be what the endpoint refuses.
             ours = bool(attempt.model) or not call.route.models
             if head.wrong_endpoint and ours:
-                self._directory.replaced(endpoint)
+                self._directory.eject_replaced(endpoint)
             raise gateway_attempt.NotRun(f"refused with status {head.status}")
         call.has_run = True
         wrong = head.echo and head.echo != call.info.request
         unsigned = head.status < 300 and not head.signed
         if wrong or unsigned or head.encoded:
-            call.excluded.add(endpoint.life)
+            call.excluded.add(endpoint.incarnation)
             self._directory.answered(endpoint, failed=True)
             raise gateway_attempt.Failed("not an answer to this request")
 
--- a/gaprock/gateway_serve.py
+++ b/gaprock/gateway_serve.py
@@ -155,7 +155,7 @@
         if route is None:
             raise self._not_allowed(errorcodes.NOT_FOUND, table)
         workspace = table.workspace_of(info.key) if info.key else None
-        if table.keyed and not route.public and workspace is None:
+        if table.requires_key and not route.public and workspace is None:
             raise self._not_allowed(errorcodes.UNAUTHORIZED, table)
         if not info.request:
             raise gateway_call.GivenUp(errorcodes.BAD_REQUEST, "no request id")
@@ -193,7 +193,7 @@
     # -- Sends --
 
     def _run(self, call: gateway_call.Call, reply: gateway_call.Reply) -> None:
-        self._budget.note_first(call.service, self._clock.now())
+        self._budget.record_first(call.service, self._clock.now())
         if call.route.kind is routes.RouteKind.STREAM:
             self._relay.run(call, reply, self)
         else:
@@ -221,11 +221,11 @@
                 kept = (attempt.head, body)
                 bad = attempt.head.status >= gateway_attempt.SERVER_ERROR
                 if bad and self.may_repeat(call):
-                    call.excluded.add(attempt.endpoint.life)
+                    call.excluded.add(attempt.endpoint.incarnation)
                     self.take_repeat(call, f"status {attempt.head.status}")
                     continue
                 if not bad:
-                    self._gate.note_whole(call)
+                    self._gate.record_success(call)
             head, body = kept
             call.status = head.status
             call.note_write(self._clock.now())
@@ -321,7 +321,7 @@
         try:
             body = self._sender.read_whole(call, attempt, lambda: self.may_repeat(call))
         except gateway_attempt.Failed:
-            call.excluded.add(attempt.endpoint.life)
+            call.excluded.add(attempt.endpoint.incarnation)
             raise
         finally:
             attempt.finish(self._relay.directory)
--- a/gaprock/odd_rows.py
+++ b/gaprock/invalid_rows.py
@@ -31,7 +31,7 @@
         raise gateway_api.InvalidDocument(str(exc)[:MAX_ERROR]) from exc
 
 
-class OddRows:
+class InvalidRows:
     """The odd rows of one table, as its one follower meets them."""
 
     __slots__ = ("table", "count", "_clock", "_logged")
@@ -44,7 +44,7 @@
         # When each key was last logged, the longest ago first.
         self._logged: collections.OrderedDict[str, float] = collections.OrderedDict()
 
-    def note(self, row: gateway_api.Row, exc: Exception) -> None:
+    def record(self, row: gateway_api.Row, exc: Exception) -> None:
         """Count an odd row, and log it if it was not logged lately."""
         self.count += 1
         now = self._clock.now()
--- a/gaprock/mechanisms.py
+++ b/gaprock/mechanisms.py
@@ -60,7 +60,7 @@
 LOOKS: typing.Final = Mechanism(
     "looks", "a silent endpoint is looked at with a new connection"
 )
-CLIMB_RESERVE: typing.Final = Mechanism(
+ESCALATION_RESERVE: typing.Final = Mechanism(
     "climb-reserve", "some of the retry budget is left to failures"
 )
 SLOW_START: typing.Final = Mechanism(
--- a/gaprock/mesh.py
+++ b/gaprock/mesh.py
@@ -141,7 +141,7 @@
 
     def _connect_found(self, context: typing.Any) -> None:
         with self._lock:
-            found, self._found = self._found, []
+            found, self._new_addresses = self._new_addresses, []
         for one in found:
             peer = self._peers.get(one.address)
             if peer is None:
@@ -170,10 +170,10 @@
     def _choose_far(self, context: typing.Any, now: float) -> None:
         """Connect to the gateways of other halls that we speak to, if we carry."""
         carrying = set()
-        for hall, carriers in self.halls.carriers().items():
-            for carrier in carriers:
-                self._note_carrier(carrier, hall, now)
-                carrying.add(carrier.address)
+        for hall, hall_relays in self.halls.hall_relays().items():
+            for hall_relay in hall_relays:
+                self._note_carrier(hall_relay, hall, now)
+                carrying.add(hall_relay.address)
         self._note_carrying(self.name in self._carriers(now))
         if self._carried:
             chosen = mesh_plan.targets(self._far(), carrying, now)
@@ -198,15 +198,15 @@
             peer.tick = 0
 
     def _note_carrier(
-        self, carrier: mesh_messages.Carrier, hall: str, now: float
+        self, hall_relay: mesh_messages.Carrier, hall: str, now: float
     ) -> None:
         """Keep the address of a carrier that its hall's summary names."""
-        peer = self._peers.get(carrier.address)
+        peer = self._peers.get(hall_relay.address)
         if peer is None:
-            peer = mesh_peers.Peer(carrier.name, carrier.address, None, now, hall)
+            peer = mesh_peers.Peer(hall_relay.name, hall_relay.address, None, now, hall)
             with self._lock:
-                self._peers[carrier.address] = peer
-        peer.name, peer.heard_at = carrier.name, now
+                self._peers[hall_relay.address] = peer
+        peer.name, peer.heard_at = hall_relay.name, now
 
     def _spoken_to(self) -> list[mesh_peers.Peer]:
         return [peer for peer in self._peers.values() if peer.sock is not None]
@@ -215,7 +215,7 @@
 
     def _beat_where_due(self, now: float) -> None:
         near_news, far_news = self._near_news(), self._far_news(now)
-        passing = self.halls.to_pass_on(now) if self._carried else []
+        passing = self.halls.summaries_to_forward(now) if self._carried else []
         spoken_to = self._spoken_to()
         far_count = sum(self._is_far(peer) for peer in spoken_to)
         near_s = mesh_peers.near_pause(len(spoken_to) - far_count)
@@ -255,20 +255,20 @@
         reached = []
         for peer in peers:
             is_far = self._is_far(peer)
-            is_all_held = now >= peer.held_told_at + quarantine.TELL_HELD_S
+            include_held = now >= peer.held_told_at + quarantine.HELD_RESEND_S
             # Where each gateway carries, all tell all; else prompts stay in the hall:
             # few requests leave it, and they were a quarter of the bytes.
             is_told = tells_prompts and (is_direct or not is_far)
-            key = (is_far, peer.tick, peer.prompts if is_told else -1, is_all_held)
+            key = (is_far, peer.tick, peer.prompts if is_told else -1, include_held)
             if key not in round_.encoded:
                 round_.encoded[key] = self._encode_for(
-                    round_, peer, is_told, is_all_held
+                    round_, peer, is_told, include_held
                 )
             encoded = round_.encoded[key]
             if self._send_bytes(peer, encoded.data):
                 peer.tick, peer.prompts = encoded.tick, encoded.prompts
                 peer.beat_at = now
-                if is_all_held:
+                if include_held:
                     peer.held_told_at = now
                 reached.append(peer)
         return reached
@@ -278,7 +278,7 @@
         round_: "_BeatRound",
         peer: mesh_peers.Peer,
         is_told: bool,
-        is_all_held: bool,
+        include_held: bool,
     ) -> "_EncodedBeat":
         """Write the beat of a peer, which is that of all who were told the same."""
         tick, counters = self._evidence.since(peer.tick)
@@ -287,7 +287,7 @@
             round_.far if self._is_far(peer) and round_.far else round_.near,
             prompts=prompts if is_told else [],
             evidence=self._evidence_for(peer, counters),
-            suspects=self._suspects_for(peer, is_all_held),
+            suspects=self._suspects_for(peer, include_held),
             fleet=self._counted.value,
         )
         return _EncodedBeat(mesh_messages.encode(beat), tick, prompt_count)
@@ -324,7 +324,9 @@
         peer = self._peers.get(beat.address)
         if peer is None:
             with self._lock:
-                self._found.append(mesh_members.Found(beat.address, beat.hall))
+                self._new_addresses.append(
+                    mesh_members.PeerAddress(beat.address, beat.hall)
+                )
             return
         if peer.beat is None or peer.beat.incarnation != beat.incarnation:
             # A new process knows nothing of what the old one was told.
@@ -336,19 +338,21 @@
         peer.name, peer.hall = beat.sender, beat.hall
         peer.beat, peer.heard_at, peer.spoke_at = beat, now, now
         if not self._is_far(peer):
-            self._directory.take_loads(beat.sender, beat.loads)
-            self._directory.take_dark(beat.sender, beat.dark)
-            self._directory.pacer.take_news(beat.sender, 1, beat.limits)
-            self._directory.take_departures(beat.sender, beat.departing)
-        self._directory.take_prompts(beat.prompts)
+            self._directory.apply_peer_loads(beat.sender, beat.loads)
+            self._directory.apply_peer_unreachable(
+                beat.sender, beat.unreachable_endpoints
+            )
+            self._directory.pacer.record_news(beat.sender, 1, beat.limits)
+            self._directory.apply_peer_departures(beat.sender, beat.departing)
+        self._directory.apply_peer_prompts(beat.prompts)
         self._quarantine.take(beat.suspects, self._is_far(peer))
         self._told_most.note(beat.fleet, now)
         for hall in beat.halls:
             self.halls.take(hall, now, is_passed_on=not self._is_far(peer))
         for news in beat.rollouts:
-            self._rollouts.take_told(news, now, beat.sender)
+            self._rollouts.merge_reported(news, now, beat.sender)
         if beat.evidence and self._evidence.merge(beat.evidence):
-            self._rollouts.note_routes(beat.evidence)
+            self._rollouts.learn_routes(beat.evidence)
             self._rollouts.look()
         self._take_tables(peer, now)
 
@@ -361,10 +365,10 @@
         may_ask = now >= peer.asked_at + ASK_PAUSE_S and peer.sock is not None
         for table, news in enumerate(peer.beat.tables):
             age_s = peer.beat.epoch_age_s
-            helps = self.source.take_news(table, news, is_other, age_s)
+            helps = self.source.record_news(table, news, is_other, age_s)
             if helps and may_ask and self._claim_ask(table, now):
                 peer.asked_at = now
-                epoch, since = self.source.copied_to(table)
+                epoch, since = self.source.delta_base(table)
                 wanted = mesh_messages.RowsWanted(self.address, table, since, epoch)
                 self._send(peer, wanted)
         tables = peer.beat.tables
@@ -392,7 +396,7 @@
 
     def _on_rows(self, rows: mesh_messages.Rows) -> None:
         if self.source is not None:
-            self.source.take_copy(rows)
+            self.source.apply_copy(rows)
 
     def _on_config_wanted(self, wanted: mesh_messages.ConfigWanted) -> None:
         peer = self._peers.get(wanted.address)
@@ -402,7 +406,7 @@
 
     def _on_config(self, copy: mesh_messages.ConfigCopy) -> None:
         if self.source is not None:
-            self.source.take_config(copy)
+            self.source.apply_config(copy)
 
     def _forget_silent(self) -> None:
         now = self._clock.now()
@@ -410,9 +414,9 @@
             silent_s = now - peer.heard_at
             if silent_s > mesh_members.SILENT_S and peer.beat is not None:
                 eventlog.warning("peer-silent", peer=peer.name, silent_s=silent_s)
-                self._directory.take_loads(peer.name, {})
-                self._directory.take_dark(peer.name, ())
-                self._directory.pacer.take_news(peer.name, 1, [])
+                self._directory.apply_peer_loads(peer.name, {})
+                self._directory.apply_peer_unreachable(peer.name, ())
+                self._directory.pacer.record_news(peer.name, 1, [])
                 peer.beat = None
             # One in another hall has no socket unless it is tried.
             is_kept = peer.name or self._is_far(peer)
--- a/gaprock/mesh_beats.py
+++ b/gaprock/mesh_beats.py
@@ -27,13 +27,13 @@
     def epoch_age_s(self) -> int:
         """Give the seconds since we first heard of the store's epoch."""
 
-    def own_proofs(self) -> list[float]:
+    def own_verified_at(self) -> list[float]:
         """Give the newest proofs of our own calls, by table."""
 
     def has_store(self) -> bool:
         """Whether the store answers us; one that rests reads when it has to."""
 
-    def reads(self) -> bool:
+    def reads_store(self) -> bool:
         """Whether we read the store ourselves, and it answers."""
 
     def config_number(self) -> int:
@@ -45,13 +45,13 @@
     def config_copy(self) -> mesh_messages.ConfigCopy | None:
         """Give the configuration in force."""
 
-    def take_config(self, copy: mesh_messages.ConfigCopy) -> None:
+    def apply_config(self, copy: mesh_messages.ConfigCopy) -> None:
         """Take a peer's configuration."""
 
-    def copied_to(self, table: int) -> tuple[int, int]:
+    def delta_base(self, table: int) -> tuple[int, int]:
         """Give the epoch and version after which a table's changes help us."""
 
-    def take_news(
+    def record_news(
         self,
         table: int,
         news: mesh_messages.TableNews,
@@ -63,7 +63,7 @@
     def copy(self, table: int, since: int, epoch: int) -> mesh_messages.Rows:
         """Give a table, or what has changed in it after a version."""
 
-    def take_copy(self, rows: mesh_messages.Rows) -> None:
+    def apply_copy(self, rows: mesh_messages.Rows) -> None:
         """Take a table from a peer."""
 
 
@@ -95,11 +95,22 @@
         """Give what everybody must know at once."""
         rolls = self._rollouts.all()
         halts = [(r.order.service, r.revision, r.halted) for r in rolls]
-        dark = self._directory.dark(), self._directory.doubted()
-        held = list(self._quarantine.ticks.values())
+        reachability = (
+            self._directory.unreachable_endpoints(),
+            self._directory.doubted(),
+        )
+        held = list(self._quarantine.held_changes.values())
         limits = sorted(one.urgent for one in self._directory.pacer.news())
         departures = self._urgent_departures()
-        return halts, self._has_store(), self.leaving, dark, held, limits, departures
+        return (
+            halts,
+            self._has_store(),
+            self.leaving,
+            reachability,
+            held,
+            limits,
+            departures,
+        )
 
     def _urgent_departures(self) -> list[tuple[str, bool]]:
         return sorted(one.urgent for one in self._directory.departure_news())
@@ -112,10 +123,10 @@
         versions = [table.point for table in self._tables()]
         # Who has a change from the store tells it at once; who has it from a peer need
         # not, or each change would set all gateways of a hall talking.
-        told = versions if self.source is not None and self.source.reads() else []
+        told = versions if self.source is not None and self.source.reads_store() else []
         halts = mesh_messages.halts(rolls)
         proofs = self._proofs()
-        dark = self._directory.dark()
+        unreachable_endpoints = self._directory.unreachable_endpoints()
         state = (self._has_store(), self.leaving)
         held, suspected = self._suspect_ticks(is_far=False)
         limits = self._directory.pacer.news()
@@ -125,7 +136,14 @@
         is_urgent = not self._is_crowded()
         return mesh_peers.News(
             (
-                (halts, told, state, held, named, dark if is_urgent else ()),
+                (
+                    halts,
+                    told,
+                    state,
+                    held,
+                    named,
+                    unreachable_endpoints if is_urgent else (),
+                ),
                 self._urgent_departures(),
             ),
             (
@@ -135,7 +153,7 @@
                 proofs,
                 suspected,
                 versions,
-                dark,
+                unreachable_endpoints,
                 wanted,
             ),
         )
@@ -174,26 +192,26 @@
         near = self._living_near()
         beats = [peer.beat for peer in near if peer.beat is not None]
         names = self._carriers(now)
-        carriers = [
+        hall_relays = [
             mesh_messages.Carrier(peer.name, peer.address)
             for peer in near
             if peer.name in names
         ]
         if self.name in names and not self.leaving:
-            carriers.append(mesh_messages.Carrier(self.name, self.address))
-        carriers.sort(key=lambda carrier: carrier.name)
+            hall_relays.append(mesh_messages.Carrier(self.name, self.address))
+        hall_relays.sort(key=lambda hall_relay: hall_relay.name)
         loads = [self._near_loads(), *(beat.loads for beat in beats)]
         rolls = [self._rollout_news(), *(beat.rollouts for beat in beats)]
         return mesh_messages.HallNews(
             self.hall,
             0.0,
-            carriers,
+            hall_relays,
             len(near) + (not self.leaving),
             self._has_store() or any(beat.has_store for beat in beats),
             mesh_halls.heaviest(mesh_halls.sum_loads(loads)),
-            self._directory.found_dark([peer.name for peer in near]),
+            self._directory.found_unreachable([peer.name for peer in near]),
             mesh_halls.sum_rollouts(rolls),
-            mesh_halls.sum_wanted(
+            mesh_halls.sum_wanted_rates(
                 self._directory.pacer.news(), [beat.limits for beat in beats]
             ),
             self._directory.departure_news(),
@@ -204,8 +222,8 @@
         if self.source is None:
             return []
         if self._carried:
-            return [table.proved for table in self._tables()]
-        return self.source.own_proofs()
+            return [table.verified_store_time for table in self._tables()]
+        return self.source.own_verified_at()
 
     def _tables(self) -> list[mesh_messages.TableNews]:
         return self.source.news() if self.source else []
@@ -227,8 +245,8 @@
                 r.revision,
                 now - r.started_at,
                 r.halted,
-                self.on_old_here(r.order.service),
-                self._rollouts.kept_sessions(r),
+                self.own_on_old_version(r.order.service),
+                self._rollouts.pinned_sessions(r),
                 r.epoch,
             )
             for r in self._rollouts.all()
@@ -244,7 +262,7 @@
             self._has_store(),
             self._near_loads(),
             [],
-            self._directory.dark(),
+            self._directory.unreachable_endpoints(),
             self._rollout_news(),
             [],
             self.leaving,
@@ -275,19 +293,19 @@
         )
 
     def _suspects_for(
-        self, peer: mesh_peers.Peer, is_all_held: bool
-    ) -> list[quarantine.SuspectNews]:
+        self, peer: mesh_peers.Peer, include_held: bool
+    ) -> list[quarantine.SuspectUpdate]:
         """Give the suspected requests that a peer does not hear of from others.
 
-        :param is_all_held: whether to tell all that is held, as everybody does now and
+        :param include_held: whether to tell all that is held, as everybody does now and
             then for one that starts, or to which the way was cut.
         """
-        return self._quarantine.news(self._origins(self._is_far(peer)), is_all_held)
+        return self._quarantine.news(self._origins(self._is_far(peer)), include_held)
 
     def _suspect_ticks(self, is_far: bool) -> tuple[list[int], list[int]]:
         """Count what a peer hears from us first: what is held, what is suspected."""
         origins, book = self._origins(is_far), self._quarantine
-        held = [book.ticks[origin] for origin in origins]
+        held = [book.held_changes[origin] for origin in origins]
         return held, [book.changes[origin] for origin in origins]
 
     def _origins(self, is_far: bool) -> tuple[quarantine.Origin, ...]:
--- a/gaprock/mesh_halls.py
+++ b/gaprock/mesh_halls.py
@@ -21,7 +21,7 @@
 )
 
 # A summary counts no more after this time, seconds.
-SILENT_S: typing.Final = 2.5
+SUMMARY_TIMEOUT_S: typing.Final = 2.5
 # A summary is passed on inside the own hall this often at most, seconds, by whichever
 # carrier is first; what changed in what everybody must know goes at once.
 PASS_S: typing.Final = 0.8
@@ -74,7 +74,7 @@
         as_of = now - max(0.0, news.age_s)
         with self._lock:
             known = self._known.get(news.hall)
-            if as_of < now - SILENT_S or (known and known.as_of >= as_of):
+            if as_of < now - SUMMARY_TIMEOUT_S or (known and known.as_of >= as_of):
                 return
             self._known[news.hall] = _Known(news, as_of)
             if is_passed_on:
@@ -82,28 +82,28 @@
         if known is None:
             eventlog.info("hall-heard", hall=news.hall, age_s=news.age_s)
         name = source_name(news.hall)
-        self._directory.take_loads(name, news.loads)
-        self._directory.take_dark(name, news.dark)
+        self._directory.apply_peer_loads(name, news.loads)
+        self._directory.apply_peer_unreachable(name, news.unreachable_endpoints)
         pacer = self._directory.pacer
-        pacer.take_news(name, news.members, news.limits, news.age_s)
-        self._directory.take_departures(name, news.departing, news.age_s)
+        pacer.record_news(name, news.members, news.limits, news.age_s)
+        self._directory.apply_peer_departures(name, news.departing, news.age_s)
         for told in news.rollouts:
-            self._rollouts.take_told(told, now, name)
+            self._rollouts.merge_reported(told, now, name)
 
     def forget_silent(self, now: float) -> None:
         """Drop what is too old."""
         with self._lock:
-            old = [k for k in self._known.values() if k.as_of < now - SILENT_S]
+            old = [k for k in self._known.values() if k.as_of < now - SUMMARY_TIMEOUT_S]
             for known in old:
                 del self._known[known.news.hall]
         for known in old:
             hall = known.news.hall
             eventlog.warning("hall-silent", hall=hall, silent_s=now - known.as_of)
-            self._directory.take_loads(source_name(hall), {})
-            self._directory.take_dark(source_name(hall), ())
-            self._directory.pacer.take_news(source_name(hall), 0, [])
+            self._directory.apply_peer_loads(source_name(hall), {})
+            self._directory.apply_peer_unreachable(source_name(hall), ())
+            self._directory.pacer.record_news(source_name(hall), 0, [])
 
-    def to_pass_on(self, now: float) -> list[mesh_messages.HallNews]:
+    def summaries_to_forward(self, now: float) -> list[mesh_messages.HallNews]:
         """Give the summaries that the own hall has not heard lately, with their age."""
         with self._lock:
             due = [k for k in self._known.values() if self._is_due(k)]
@@ -128,9 +128,9 @@
         """Give the living gateways of all other halls."""
         return sum(news.members for news in self._all())
 
-    def carriers(self) -> dict[str, list[mesh_messages.Carrier]]:
+    def hall_relays(self) -> dict[str, list[mesh_messages.Carrier]]:
         """Give the carriers of the other halls, by hall."""
-        return {news.hall: news.carriers for news in self._all()}
+        return {news.hall: news.hall_relays for news in self._all()}
 
     def on_old(self, service: str) -> int:
         """Give the other halls' requests on the old version of a service."""
@@ -175,7 +175,7 @@
     return {name: loads[name] for name in names[:LOADS_TOLD]}
 
 
-def sum_wanted(
+def sum_wanted_rates(
     own: list[rate_limits.LimitNews],
     told: typing.Iterable[list[rate_limits.LimitNews]],
 ) -> list[rate_limits.LimitNews]:
--- a/gaprock/mesh_members.py
+++ b/gaprock/mesh_members.py
@@ -14,7 +14,7 @@
 SILENT_S: typing.Final = 2.5
 # A gateway reads the store for others of its hall if it was heard within this time,
 # seconds, a little more than the idle beat; so many of them are enough.
-READER_HEARD_S: typing.Final = 1.3
+READER_TIMEOUT_S: typing.Final = 1.3
 READERS: typing.Final = 1
 # So many gateways of a hall try a store that answers none of them; the others wait for
 # their word.
@@ -33,7 +33,7 @@
 MOST_KEPT_S: typing.Final = 600.0
 
 
-class Found(typing.NamedTuple):
+class PeerAddress(typing.NamedTuple):
     """An address where a gateway takes messages.
 
     :param hall: where it stands; empty if that is not known, as is its name.
@@ -44,7 +44,7 @@
     name: str = ""
 
 
-class MostSeen:
+class RecentPeak:
     """The largest of the latest counts.
 
     :param keep_s: how long a count is remembered at least, twice that at most.
@@ -87,15 +87,15 @@
         # What is known of the other halls.
         self.halls = halls
         # The most gateways that the fleet had, as we counted and as others told.
-        self._counted = MostSeen(MOST_KEPT_S)
-        self._told_most = MostSeen(MOST_KEPT_S)
+        self._counted = RecentPeak(MOST_KEPT_S)
+        self._told_most = RecentPeak(MOST_KEPT_S)
         self._lock = threading.Lock()
         self._peers: dict[str, mesh_peers.Peer] = {}
         # Addresses to say hello to, filled by other threads.
-        self._found: list[Found] = []
+        self._new_addresses: list[PeerAddress] = []
         self.leaving = False
         # Our requests on the old version, by service; given by the server.
-        self.on_old_here: typing.Callable[[str], int] = lambda service: 0
+        self.own_on_old_version: typing.Callable[[str], int] = lambda service: 0
         # Until when readers may not have been heard yet; ``NEVER`` before any is known.
         self._listen_until = clock.NEVER
         # Until when a gateway before us by name may have read the tables for us.
@@ -105,12 +105,12 @@
         # Whether we were among our hall's carriers at the last look.
         self._carried = False
 
-    def found(self, found: list[Found]) -> None:
+    def found(self, found: list[PeerAddress]) -> None:
         """Take addresses of gateways from the store."""
         others = [one for one in found if one.address != self.address]
         self._counted.note(1 + len(others), self._clock.now())
         with self._lock:
-            self._found += others
+            self._new_addresses += others
         names = [one.name for one in others if one.hall == self.hall]
         if not any(name < self.name for name in names):
             return
@@ -140,7 +140,7 @@
         """Give the living gateways of the fleet, us among them."""
         return 1 + len(self._living_near()) + self.halls.members()
 
-    def most_gateways(self) -> int:
+    def peak_gateways(self) -> int:
         """Give the most gateways that there were lately, whoever is missing now.
 
         A gateway that is cut off has to go by those that it cannot hear.
@@ -156,14 +156,14 @@
         if self._counted.value or self._told_most.value:
             self._counted.note(self.members(), now)
 
-    def turn(self, label: str) -> int:
+    def duty_rank(self, label: str) -> int:
         """Give our place among the living gateways for a duty; a hash sorts them.
 
         Carriers go first, since all of them know each other.
         """
         near = self._living_near()
-        own = mesh_plan.carriers(self.name, near, self._clock.now())
-        far = {c.name for known in self.halls.carriers().values() for c in known}
+        own = mesh_plan.hall_relays(self.name, near, self._clock.now())
+        far = {c.name for known in self.halls.hall_relays().values() for c in known}
         first = sorted(own | far, key=_place(label))
         if self.name in first:
             return first.index(self.name)
@@ -192,12 +192,12 @@
         """Whether our hall is so large that its gateways tell each other less."""
         return len(self._living_near()) > mesh_peers.CROWD
 
-    def tries_for_us(self) -> bool:
+    def peers_probe_store(self) -> bool:
         """Whether others of our hall try a store that does not answer us.
 
         They have its answers, or enough of them come before us by name.
         """
-        since = self._clock.now() - READER_HEARD_S
+        since = self._clock.now() - READER_TIMEOUT_S
         heard = [peer for peer in self._living_near() if peer.heard_at >= since]
         if any(peer.beat is not None and peer.beat.has_store for peer in heard):
             return True
@@ -212,7 +212,7 @@
 
     def _note_answered(self, now: float) -> None:
         """Note whether the store answers somebody else."""
-        since = now - READER_HEARD_S
+        since = now - READER_TIMEOUT_S
         near = self._living_near()
         is_answered = self.halls.has_store() or any(
             p.heard_at >= since and p.beat and p.beat.has_store for p in near
@@ -222,13 +222,13 @@
         elif self._answered_since == clock.NEVER:
             self._answered_since = now
 
-    def leads(self) -> bool:
+    def is_first_reader(self) -> bool:
         """Whether no reader of the store comes before us by name, in any hall."""
         return not self._readers_before() and not self.halls.has_reader_before()
 
     def _readers_before(self) -> list[mesh_peers.Peer]:
         """Give our hall's peers before us by name whom the store answers."""
-        since = self._clock.now() - READER_HEARD_S
+        since = self._clock.now() - READER_TIMEOUT_S
         return [
             peer
             for peer in self._near()
@@ -239,13 +239,13 @@
             and peer.name < self.name
         ]
 
-    def on_old_version(self, service: str) -> int:
+    def count_on_old_version(self, service: str) -> int:
         """Give the requests on a service's old version, over all living gateways."""
         since = self._clock.now() - SILENT_S
         beats = [p.beat for p in self._near() if p.heard_at >= since]
         news = [n for beat in beats if beat for n in beat.rollouts]
         others = sum(n.on_old for n in news if n.service == service)
-        return self.on_old_here(service) + others + self.halls.on_old(service)
+        return self.own_on_old_version(service) + others + self.halls.on_old(service)
 
     def _near(self) -> list[mesh_peers.Peer]:
         """Give the peers of the own hall, and those whose hall is not known yet."""
@@ -268,7 +268,7 @@
         return [peer for peer in self._peers.values() if self._is_far(peer)]
 
     def _carriers(self, now: float) -> set[str]:
-        return mesh_plan.carriers(self.name, self._near(), now)
+        return mesh_plan.hall_relays(self.name, self._near(), now)
 
 
 def _place(label: str) -> typing.Callable[[str], int]:
--- a/gaprock/mesh_messages.py
+++ b/gaprock/mesh_messages.py
@@ -48,13 +48,14 @@
     :param changed: the version of the newest change.
     :param digest: of all rows; a table that was read whole shows nothing of a row that
         was removed before, so the newest change alone does not tell two tables apart.
-    :param proved: the store's time at which it had just these rows; 0 for never.
+    :param verified_store_time: the store's time at which it had just these
+        rows; 0 for never.
     :param epoch: the store's epoch, in which the version holds.
     """
 
     changed: int
     digest: int
-    proved: float
+    verified_store_time: float
     epoch: int = 0
 
     @property
@@ -77,18 +78,18 @@
     :param members: living gateways.
     :param has_store: whether the store answers one of them.
     :param loads: what all of them have at each endpoint, together.
-    :param dark: endpoints that take no connection from one of them.
+    :param unreachable_endpoints: endpoints that take no connection from one of them.
     :param limits: rate limits that endpoints name, and what all of them want to send.
     :param departing: endpoints that say that they leave.
     """
 
     hall: str
     age_s: float
-    carriers: list[Carrier]
+    hall_relays: list[Carrier]
     members: int
     has_store: bool
     loads: dict[str, endpoint_state.Load]
-    dark: list[str]
+    unreachable_endpoints: list[str]
     rollouts: list[RolloutNews]
     limits: list[rate_limits.LimitNews] = []
     departing: list[departures.DepartureNews] = []
@@ -98,7 +99,13 @@
         """What everybody must know at once."""
         limits = sorted(one.urgent for one in self.limits)
         leaving = sorted(one.urgent for one in self.departing)
-        return self.carriers, self.dark, halts(self.rollouts), limits, leaving
+        return (
+            self.hall_relays,
+            self.unreachable_endpoints,
+            halts(self.rollouts),
+            limits,
+            leaving,
+        )
 
     def aged(self, age_s: float) -> "HallNews":
         """Give it with its age now."""
@@ -117,8 +124,8 @@
     :param has_store: whether the store answers it, so that it can read for others.
     :param loads: what it has at each endpoint.
     :param prompts: what endpoints read for it since the last beat to this peer, as
-        (endpoint, marks).
-    :param dark: endpoints that take no connection from it.
+        (endpoint, hashes).
+    :param unreachable_endpoints: endpoints that take no connection from it.
     :param evidence: counters that changed since the last beat to this peer.
     :param halls: summaries: the sender's hall's to another one, others' in its own.
     :param suspects: requests that something speaks against, or no more.
@@ -136,13 +143,13 @@
     tables: list[TableNews]
     has_store: bool
     loads: dict[str, endpoint_state.Load]
-    prompts: list[tuple[str, list[prefix_cache.Mark]]]
-    dark: list[str]
+    prompts: list[tuple[str, list[prefix_cache.PrefixHash]]]
+    unreachable_endpoints: list[str]
     rollouts: list[RolloutNews]
     evidence: list[messages.Evidence]
     leaving: bool
     halls: list[HallNews] = []
-    suspects: list[quarantine.SuspectNews] = []
+    suspects: list[quarantine.SuspectUpdate] = []
     fleet: int = 0
     limits: list[rate_limits.LimitNews] = []
     departing: list[departures.DepartureNews] = []
--- a/gaprock/mesh_plan.py
+++ b/gaprock/mesh_plan.py
@@ -37,7 +37,9 @@
     ]
 
 
-def carriers(name: str, near: typing.Iterable[mesh_peers.Peer], now: float) -> set[str]:
+def hall_relays(
+    name: str, near: typing.Iterable[mesh_peers.Peer], now: float
+) -> set[str]:
     """Give the names of the own hall's carriers, as the gateway ``name`` sees them."""
     names = sorted({name, *(peer.name for peer in living(near, now))})
     return set(names[:CARRIERS])
--- a/gaprock/messages.py
+++ b/gaprock/messages.py
@@ -108,7 +108,7 @@
     epoch: int
     urgent: list[str]
     evidence: list[Evidence]
-    suspects: list[quarantine.SuspectNews] = []
+    suspects: list[quarantine.SuspectUpdate] = []
 
 
 class Report(Message):
@@ -126,7 +126,7 @@
     # Empty when nothing changed since they were named last.
     entries: list[Known]
     # What other entries told this agent.
-    suspects: list[quarantine.SuspectNews] = []
+    suspects: list[quarantine.SuspectUpdate] = []
 
 
 class ConfigDelta(Message):
@@ -172,7 +172,7 @@
     window: int
     path: str
     body: bytes
-    # The same for each try of the request (``request_mark``).
+    # The same for each try of the request (``request_fingerprint``).
     mark: int = 0
 
 
--- a/gaprock/absences.py
+++ b/gaprock/outages.py
@@ -23,8 +23,8 @@
 CALLER_SHARE: typing.Final = 0.3
 
 
-class Absences:
-    """The absences of all services; safe for all threads."""
+class Outages:
+    """The outages of all services; safe for all threads."""
 
     __slots__ = ("_lock", "_since", "_lasted_s", "_rng")
 
@@ -35,12 +35,12 @@
         self._lasted_s: dict[str, float] = {}
         self._rng = rng or random.Random()
 
-    def note_gone(self, service: str, now: float) -> None:
+    def record_outage(self, service: str, now: float) -> None:
         """Note that no endpoint of a service takes a connection."""
         with self._lock:
             self._since.setdefault(service, now)
 
-    def note_there(self, service: str, now: float) -> None:
+    def record_recovery(self, service: str, now: float) -> None:
         """Note that an endpoint of a service took a request."""
         if service not in self._since:
             return
@@ -50,7 +50,7 @@
             change = NEWEST_WEIGHT * (now - since - before)
             self._lasted_s[service] = before + change
 
-    def come_back_s(self, service: str, now: float, caller_s: float) -> float:
+    def retry_after_s(self, service: str, now: float, caller_s: float) -> float:
         """Give the seconds after which a refused caller is to come back.
 
         :param caller_s: for which the caller still waits.
--- a/gaprock/paced_line.py
+++ b/gaprock/paced_queue.py
@@ -13,7 +13,7 @@
 import threading
 import typing
 
-from gaprock import gateway_call, rate_pacing, return_times
+from gaprock import gateway_call, rate_pacing, retry_schedule
 
 
 class Place(typing.NamedTuple):
@@ -23,7 +23,7 @@
     number: int
 
 
-class PacedLine:
+class PacedQueue:
     """The lines of all services; safe for all threads."""
 
     __slots__ = ("_lock", "_numbers", "_places", "_returns")
@@ -33,7 +33,7 @@
         self._numbers = itertools.count()
         self._places: dict[str, list[Place]] = {}
         # When those come back that are refused, by service.
-        self._returns: dict[str, return_times.ReturnTimes] = {}
+        self._returns: dict[str, retry_schedule.RetrySchedule] = {}
 
     def enter(self, call: gateway_call.Call) -> Place:
         """Put a request in the line of its service."""
@@ -69,7 +69,7 @@
         """Whether nobody waits for a service's endpoints."""
         return service not in self._places
 
-    def come_back_s(
+    def retry_after_s(
         self,
         call: gateway_call.Call,
         turn: rate_pacing.Turn,
@@ -81,5 +81,7 @@
         :param caller_s: for which the caller still waits.
         """
         with self._lock:
-            returns = self._returns.setdefault(call.service, return_times.ReturnTimes())
+            returns = self._returns.setdefault(
+                call.service, retry_schedule.RetrySchedule()
+            )
         return returns.next_s(now, caller_s, turn.pause_s, turn.next_at)
--- a/gaprock/platform/documents.py
+++ b/gaprock/platform/documents.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gaprock import gateway_api, odd_rows, routes
+from gaprock import gateway_api, invalid_rows, routes
 
 CONFIG_KEY: typing.Final = "config"
 ROLLOUT_PREFIX: typing.Final = "rollout/"
@@ -135,7 +135,7 @@
 
 def route_table(value: bytes) -> routes.RouteTable:
     """Decode a whole configuration."""
-    doc = odd_rows.decode(ConfigDoc, value)
+    doc = invalid_rows.decode(ConfigDoc, value)
     return routes.RouteTable(
         doc.Version,
         [_route(item) for item in doc.Routes],
@@ -147,7 +147,7 @@
 
 def endpoint(value: bytes) -> gateway_api.EndpointRow:
     """Decode an endpoint's row."""
-    doc = odd_rows.decode(ServerDoc, value)
+    doc = invalid_rows.decode(ServerDoc, value)
     host, port = _address(doc.Addr)
     if doc.born and doc.born > time.time() * 1000 + MAX_AHEAD_MS:
         raise gateway_api.InvalidDocument(f"born is in the future: {doc.born}")
--- a/gaprock/platform/wire.py
+++ b/gaprock/platform/wire.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from gaprock import gateway_api, odd_rows, plugin, routes
+from gaprock import gateway_api, invalid_rows, plugin, routes
 from gaprock.platform import documents, notices
 
 # Headers that concern one connection only.
@@ -127,7 +127,7 @@
     def order(self, key: str, value: bytes) -> gateway_api.RolloutOrder | None:
         if not key.startswith(documents.ROLLOUT_PREFIX):
             return None
-        doc = odd_rows.decode(documents.RolloutDoc, value)
+        doc = invalid_rows.decode(documents.RolloutDoc, value)
         return gateway_api.RolloutOrder(doc.Service, doc.ToVersion, doc.FinishByS)
 
     def emptied_hall(self, key: str) -> str | None:
@@ -144,7 +144,7 @@
     def outcome(self, key: str, value: bytes) -> tuple[str, str, str] | None:
         if not key.startswith(documents.ROLLOUT_PREFIX):
             return None
-        doc = odd_rows.decode(documents.OutcomeDoc, value)
+        doc = invalid_rows.decode(documents.OutcomeDoc, value)
         return key[len(documents.ROLLOUT_PREFIX) :], doc.ToVersion, doc.State
 
     def outcome_value(self, to_version: str, state: str) -> bytes:
--- a/gaprock/policy_api.py
+++ b/gaprock/policy_api.py
@@ -131,7 +131,7 @@
         "same_hall",
         "holds_prefix",
         "unread",
-        "kept",
+        "cached",
     )
 
     def __init__(
@@ -142,7 +142,7 @@
         same_hall: bool,
         holds_prefix: bool,
         unread: float = 0.0,
-        kept: float = 0.0,
+        cached: float = 0.0,
     ) -> None:
         self.agent = agent
         self.load = load
@@ -154,7 +154,7 @@
         # Prompts ahead that are not read yet, in mean prompts.
         self.unread = unread
         # Share of the prompt that the endpoint likely keeps.
-        self.kept = kept
+        self.cached = cached
 
     @property
     def name(self) -> str:
@@ -197,7 +197,7 @@
     """Chooses the model of a request, and whether to ask another one after it.
 
     A model answers with its own opinion of the answer; the caller has nothing of the
-    answer yet when ``climb`` is asked.
+    answer yet when ``escalate`` is asked.
     """
 
     __slots__ = ()
@@ -206,7 +206,9 @@
         """Choose the model to ask; ``None`` means "not mine"."""
         raise NotImplementedError
 
-    def climb(self, ask: ModelAsk, model: str, confidence: float | None) -> str | None:
+    def escalate(
+        self, ask: ModelAsk, model: str, confidence: float | None
+    ) -> str | None:
         """Choose a model to ask instead; ``None`` keeps the answer.
 
         :param confidence: the model's opinion of its answer, 0 to 100.
@@ -235,12 +237,12 @@
     __slots__ = ()
 
     def choose(
-        self, template: documents.Template, allowed: list[str], can_climb: bool
+        self, template: documents.Template, allowed: list[str], can_escalate: bool
     ) -> Choice | None:
         """Order the versions to try.
 
         :param allowed: versions that may run, from the cheapest to the safest.
-        :param can_climb: false for streams, which choose once.
+        :param can_escalate: false for streams, which choose once.
         """
         raise NotImplementedError
 
@@ -281,7 +283,7 @@
         """
         raise NotImplementedError
 
-    def is_doubted(self, version: str) -> bool:
+    def is_suspected(self, version: str) -> bool:
         """Whether the evidence speaks against a version, but not enough to stop it.
 
         As of the last ``is_bad``.
--- a/gaprock/policy_cascade.py
+++ b/gaprock/policy_cascade.py
@@ -84,11 +84,11 @@
         self._rng = random.Random(1)
 
     def choose(
-        self, template: documents.Template, allowed: list[str], can_climb: bool
+        self, template: documents.Template, allowed: list[str], can_escalate: bool
     ) -> policy_api.Choice | None:
         if not allowed:
             return None
-        if can_climb:
+        if can_escalate:
             return self._climb(template, allowed)
         return self._direct(template, allowed)
 
@@ -176,7 +176,7 @@
     __slots__ = ()
 
     def choose(
-        self, template: documents.Template, allowed: list[str], can_climb: bool
+        self, template: documents.Template, allowed: list[str], can_escalate: bool
     ) -> policy_api.Choice | None:
         return policy_api.Choice(allowed[-1:], "always-best") if allowed else None
 
@@ -196,7 +196,7 @@
     __slots__ = ()
 
     def choose(
-        self, template: documents.Template, allowed: list[str], can_climb: bool
+        self, template: documents.Template, allowed: list[str], can_escalate: bool
     ) -> policy_api.Choice | None:
         return policy_api.Choice(allowed[:1], "always-cheapest") if allowed else None
 
@@ -208,11 +208,11 @@
     __slots__ = ()
 
     def choose(
-        self, template: documents.Template, allowed: list[str], can_climb: bool
+        self, template: documents.Template, allowed: list[str], can_escalate: bool
     ) -> policy_api.Choice | None:
         if not allowed:
             return None
-        return policy_api.Choice(allowed if can_climb else allowed[:1], "fixed")
+        return policy_api.Choice(allowed if can_escalate else allowed[:1], "fixed")
 
     def accept(
         self, template: documents.Template, version: str, rating: float | None
--- a/gaprock/policy_guard.py
+++ b/gaprock/policy_guard.py
@@ -100,7 +100,7 @@
         from_start = log_mean(log_ratios(seen, bound))
         return from_start > -math.log(ERROR_CHANCE) or highest > CUSUM_LIMIT
 
-    def is_doubted(self, version: str) -> bool:
+    def is_suspected(self, version: str) -> bool:
         record = self._records.get(version)
         return record is not None and max(record.sums) > DOUBT_LIMIT
 
--- a/gaprock/policy_models.py
+++ b/gaprock/policy_models.py
@@ -58,7 +58,7 @@
             return ask.models[-1].name
         return ask.models[0].name
 
-    def climb(
+    def escalate(
         self, ask: policy_api.ModelAsk, model: str, confidence: float | None
     ) -> str | None:
         names = [m.name for m in ask.models]
@@ -102,7 +102,7 @@
     def first(self, ask: policy_api.ModelAsk) -> str | None:
         return ask.models[-1].name if ask.models else None
 
-    def climb(
+    def escalate(
         self, ask: policy_api.ModelAsk, model: str, confidence: float | None
     ) -> str | None:
         return None
@@ -117,7 +117,7 @@
     def first(self, ask: policy_api.ModelAsk) -> str | None:
         return ask.models[0].name if ask.models else None
 
-    def climb(
+    def escalate(
         self, ask: policy_api.ModelAsk, model: str, confidence: float | None
     ) -> str | None:
         return None
--- a/gaprock/policy_routing.py
+++ b/gaprock/policy_routing.py
@@ -118,7 +118,7 @@
     ) -> policy_api.Candidate | None:
         near = [c for c in candidates if c.same_hall]
         few = rng.sample(near, min(FEW, len(near)))
-        few += [c for c in near if c.kept >= KEPT_SHARE]
+        few += [c for c in near if c.cached >= KEPT_SHARE]
         best = super().choose(few, rng)
         if best is None or self._cost(best) >= HALL_FILL:
             # An empty one in another hall would be better.
--- a/gaprock/reading_pace.py
+++ b/gaprock/prefill_pace.py
@@ -88,7 +88,7 @@
         return self.seconds / self.tokens
 
 
-class ReadingPace:
+class PrefillPace:
     """The lines and models of all services; safe for all threads."""
 
     __slots__ = ("_lock", "_lines", "_models")
--- a/gaprock/prefix_cache.py
+++ b/gaprock/prefix_cache.py
@@ -15,7 +15,7 @@
 MAX_MARKS: typing.Final = 4096
 
 
-class Mark(typing.NamedTuple):
+class PrefixHash(typing.NamedTuple):
     """A part of a prompt behind all the parts before it, for one model.
 
     :param key: a hash of the model and of the parts up to this one.
@@ -26,15 +26,15 @@
     tokens: int
 
 
-def marks_of(model: str, parts: list[tuple[str, int]]) -> list[Mark]:
-    """Give the marks of a prompt's parts, in order."""
+def prefix_hashes(model: str, parts: list[tuple[str, int]]) -> list[PrefixHash]:
+    """Give the hashes of a prompt's parts, in order."""
     if not mechanisms.KEPT_PROMPTS.on:
         return []
     found = []
     key = zlib.crc32(model.encode())
     for name, tokens in parts:
         key = zlib.crc32(b"/" + name.encode(), key)
-        found.append(Mark(key, tokens))
+        found.append(PrefixHash(key, tokens))
     return found
 
 
@@ -48,22 +48,22 @@
         self._tokens: collections.OrderedDict[int, int] = collections.OrderedDict()
         self._sum = 0
 
-    def kept(self, marks: list[Mark]) -> int:
+    def cached(self, hashes: list[PrefixHash]) -> int:
         """Give the tokens of a prompt that need not be read."""
-        kept = 0
-        for mark in marks:
+        cached = 0
+        for mark in hashes:
             if mark.key not in self._tokens:
                 break
-            kept += mark.tokens
-        return kept
+            cached += mark.tokens
+        return cached
 
-    def use(self, marks: list[Mark], room: int) -> None:
+    def use(self, hashes: list[PrefixHash], room: int) -> None:
         """Note a prompt that is read there.
 
         :param room: tokens that the endpoint can keep; older parts give way.
         """
         # A part is never kept without those before it, so the first one is the newest.
-        for mark in reversed(marks):
+        for mark in reversed(hashes):
             self._sum += mark.tokens - self._tokens.get(mark.key, 0)
             self._tokens[mark.key] = mark.tokens
             self._tokens.move_to_end(mark.key)
--- a/gaprock/quarantine.py
+++ b/gaprock/quarantine.py
@@ -3,10 +3,11 @@
 An endpoint that ends cuts off all of its requests, and at most one of them is to blame;
 the others are *bystanders*.  What tells them apart: a poison request is open at each of
 several ends, and has begun to run just before.  So each end of an endpoint's life
-speaks against the requests that were open there, by their marks (``request_mark``), and
-more against one that had just begun.  Ends are told to other gateways by the endpoint's
-life, so that a set of them joins without counting one twice.  A request that has enough
-against it is *held*: no endpoint gets it.  An answer that comes whole clears it.
+speaks against the requests that were open there, by their marks
+(``request_fingerprint``), and more against one that had just begun.  Ends are told to
+other gateways by the endpoint's life, so that a set of them joins without counting one
+twice.  A request that has enough against it is *held*: no endpoint gets it.  An answer
+that comes whole clears it.
 
 Nothing of it is stored: a gateway that starts hears what is held in the first beats of
 any other one.
@@ -63,11 +64,11 @@
 TOLD_S: typing.Final = 2.0
 # All that is held is told to each peer so often, seconds, and so many at most, the
 # newest: 64 of them are 1.2 KB.  Within the 3 s in which a gateway has to know.
-TELL_HELD_S: typing.Final = 1.8
+HELD_RESEND_S: typing.Final = 1.8
 MAX_TOLD: typing.Final = 64
 
 
-class SuspectNews(msgspec.Struct, array_like=True, frozen=True):
+class SuspectUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What a gateway tells of a request.
 
     :param lives: what the ends of endpoints' lives say against it, by life.
@@ -129,11 +130,11 @@
         self.lives.update(fresh)
         return bool(fresh)
 
-    def news(self, now: float) -> SuspectNews:
+    def news(self, now: float) -> SuspectUpdate:
         """Give it to be told."""
         held_s = max(0.0, self.held_until - now)
         is_cleared = now < self.cleared_until
-        return SuspectNews(self.mark, dict(self.lives), held_s, is_cleared)
+        return SuspectUpdate(self.mark, dict(self.lives), held_s, is_cleared)
 
 
 class Quarantine:
@@ -146,7 +147,7 @@
         "_held",
         "_ends",
         "is_empty",
-        "ticks",
+        "held_changes",
         "changes",
     )
 
@@ -160,12 +161,12 @@
         # Whether nothing is known, so that no mark has to be hashed.
         self.is_empty = True
         # Changes of what is held, and of what is suspected, by where they came from.
-        self.ticks = {origin: 0 for origin in Origin}
+        self.held_changes = {origin: 0 for origin in Origin}
         self.changes = {origin: 0 for origin in Origin}
 
     # -- Questions --
 
-    def holds(self, mark: int) -> float:
+    def held_for_s(self, mark: int) -> float:
         """Give for how much longer a request is held, seconds; 0 if it is not."""
         if mark not in self._held:
             return 0.0
@@ -173,7 +174,7 @@
             suspect = self._marks.get(mark)
             return suspect.news(self._clock.now()).held_s if suspect else 0.0
 
-    def suspects(self, mark: int) -> bool:
+    def is_suspected(self, mark: int) -> bool:
         """Whether anything speaks against a request."""
         with self._lock:
             suspect = self._marks.get(mark)
@@ -194,7 +195,7 @@
 
     def note(self, mark: int, life: str, weight: int) -> None:
         """Take that a request was open at the end of an endpoint's life."""
-        self._join(SuspectNews(mark, {life: weight}), Origin.OWN)
+        self._join(SuspectUpdate(mark, {life: weight}), Origin.OWN)
 
     def clear(self, mark: int) -> None:
         """Take that a request was answered whole."""
@@ -202,7 +203,7 @@
 
     # -- What others tell --
 
-    def take(self, told: typing.Iterable[SuspectNews], is_far: bool) -> None:
+    def take(self, told: typing.Iterable[SuspectUpdate], is_far: bool) -> None:
         """Take what another gateway tells."""
         origin = Origin.FAR if is_far else Origin.NEAR
         for news in told:
@@ -212,12 +213,12 @@
                 self._join(news, origin)
 
     def news(
-        self, origins: typing.Container[Origin], is_all_held: bool
-    ) -> list[SuspectNews]:
+        self, origins: typing.Container[Origin], include_held: bool
+    ) -> list[SuspectUpdate]:
         """Give what is to be told.
 
         :param origins: where the changes came from that the hearer lacks.
-        :param is_all_held: whether all that is held is due, wherever it came from.
+        :param include_held: whether all that is held is due, wherever it came from.
         """
         if self.is_empty:
             return []
@@ -228,11 +229,11 @@
                 for suspect in reversed(self._marks.values())
                 if now < suspect.changed_at + TOLD_S and suspect.origin in origins
             ]
-            if is_all_held:
+            if include_held:
                 known = {news.mark for news in fresh}
                 held = [m for m in reversed(self._marks) if m in self._held - known]
                 told = [self._marks[mark].news(now) for mark in held]
-                fresh += [SuspectNews(n.mark, {}, n.held_s) for n in told]
+                fresh += [SuspectUpdate(n.mark, {}, n.held_s) for n in told]
         return fresh[:MAX_TOLD]
 
     # -- Changes --
@@ -250,7 +251,7 @@
                     self._drop(suspect)
             self.is_empty = not self._marks
 
-    def _join(self, news: SuspectNews, origin: Origin) -> None:
+    def _join(self, news: SuspectUpdate, origin: Origin) -> None:
         now = self._clock.now()
         with self._lock:
             suspect = self._marks.get(news.mark)
@@ -293,7 +294,7 @@
             return
         self._held.add(suspect.mark)
         self._note_change(suspect, origin)
-        self.ticks[origin] += 1
+        self.held_changes[origin] += 1
         eventlog.warning(
             "request-held",
             mark=f"{suspect.mark:016x}",
@@ -349,7 +350,7 @@
     return ends >= SPARED_ENDS and living <= 1 < all_of
 
 
-def weight_of(begun_s: float, may_wait: bool) -> int:
+def suspicion_weight(begun_s: float, may_wait: bool) -> int:
     """Give what an endpoint's end says against a request; 0 for nothing.
 
     :param begun_s: seconds since its answer began; -1 before that.
--- a/gaprock/rate_limits.py
+++ b/gaprock/rate_limits.py
@@ -91,25 +91,27 @@
             self._note_odd(endpoint, notice.odd)
             return
         with self._lock:
-            known = self._known.get(endpoint.life)
+            known = self._known.get(endpoint.incarnation)
             now, per_s = self._clock.now(), notice.per_s
             if known is None and per_s is None:
                 return
             if _relaxes(known, per_s) and known and sent_at <= known.as_of:
                 return
             as_of = sent_at if per_s is None else now
-            self._set(endpoint.life, per_s, as_of, "answer")
+            self._set(endpoint.incarnation, per_s, as_of, "answer")
 
-    def _set(self, life: str, per_s: float | None, as_of: float, source: str) -> None:
+    def _set(
+        self, incarnation: str, per_s: float | None, as_of: float, source: str
+    ) -> None:
         """Take what holds now."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         before = known.per_s if known is not None else None
-        self._known[life] = _Limit(per_s, as_of)
+        self._known[incarnation] = _Limit(per_s, as_of)
         if per_s == before:
             return
         eventlog.info(
             "endpoint-limited" if per_s is not None else "endpoint-unlimited",
-            endpoint=life,
+            endpoint=incarnation,
             per_s="none" if per_s is None else per_s,
             before="none" if before is None else before,
             source=source,
@@ -130,17 +132,19 @@
         with self._lock:
             news = [
                 LimitNews(
-                    life,
+                    incarnation,
                     ENDED if known.per_s is None else known.per_s,
                     now - known.as_of,
-                    wanted.get(life, 0.0),
+                    wanted.get(incarnation, 0.0),
                 )
-                for life, known in self._known.items()
+                for incarnation, known in self._known.items()
             ]
         news.sort(key=lambda one: (-one.wanted_per_s, one.endpoint))
         return news[:MOST_TOLD]
 
-    def take_news(self, sender: str, news: list[LimitNews], age_s: float = 0.0) -> None:
+    def record_news(
+        self, sender: str, news: list[LimitNews], age_s: float = 0.0
+    ) -> None:
         """Take what another gateway, or a hall's carrier, tells.
 
         :param age_s: how long the news were on their way, seconds.
@@ -151,31 +155,33 @@
                 per_s = one.per_s if one.per_s >= 0 else None
                 self._merge(one.endpoint, per_s, now - max(0.0, one.age_s), sender)
 
-    def _merge(self, life: str, per_s: float | None, as_of: float, sender: str) -> None:
+    def _merge(
+        self, incarnation: str, per_s: float | None, as_of: float, sender: str
+    ) -> None:
         """Take what is newer, and of word of the same moment the lower limit."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         if known is None:
             if per_s is not None:
-                self._set(life, per_s, as_of, sender)
+                self._set(incarnation, per_s, as_of, sender)
             return
         is_newer = as_of > known.as_of + SAME_S
         is_same = abs(as_of - known.as_of) <= SAME_S
         if is_newer:
-            self._set(life, per_s, as_of, sender)
+            self._set(incarnation, per_s, as_of, sender)
         elif is_same and _is_lower(per_s, known.per_s):
-            self._set(life, per_s, known.as_of, sender)
+            self._set(incarnation, per_s, known.as_of, sender)
 
     def _note_odd(self, endpoint: endpoint_state.Endpoint, text: str) -> None:
         now = self._clock.now()
         with self._lock:
-            if now < self._odd_at.get(endpoint.life, -clock.NEVER) + LOG_ODD_S:
+            if now < self._odd_at.get(endpoint.incarnation, -clock.NEVER) + LOG_ODD_S:
                 return
-            self._odd_at[endpoint.life] = now
+            self._odd_at[endpoint.incarnation] = now
         eventlog.warning("endpoint-limit-odd", endpoint=endpoint.name, text=text)
 
-    def limit(self, life: str) -> float | None:
+    def limit(self, incarnation: str) -> float | None:
         """Give the requests a second that an endpoint takes; ``None`` for any."""
-        known = self._known.get(life)
+        known = self._known.get(incarnation)
         return known.per_s if known is not None else None
 
     @property
@@ -186,7 +192,11 @@
     def lives(self) -> list[str]:
         """Give the endpoints that name a limit."""
         with self._lock:
-            return [life for life, k in self._known.items() if k.per_s is not None]
+            return [
+                incarnation
+                for incarnation, k in self._known.items()
+                if k.per_s is not None
+            ]
 
     def forget_old(self, lives: typing.Container[str]) -> None:
         """Drop what has ended, and endpoints that are not there.
@@ -195,13 +205,13 @@
         """
         before = self._clock.now() - KEEP_S
         with self._lock:
-            for life, known in list(self._known.items()):
-                is_over = known.per_s is None or life not in lives
+            for incarnation, known in list(self._known.items()):
+                is_over = known.per_s is None or incarnation not in lives
                 if is_over and known.as_of < before:
-                    del self._known[life]
-            for life, at in list(self._odd_at.items()):
+                    del self._known[incarnation]
+            for incarnation, at in list(self._odd_at.items()):
                 if at < before:
-                    del self._odd_at[life]
+                    del self._odd_at[incarnation]
 
 
 def _is_lower(per_s: float | None, than: float | None) -> bool:
--- a/gaprock/rate_pacing.py
+++ b/gaprock/rate_pacing.py
@@ -223,20 +223,20 @@
 
     def may_send(self, endpoint: endpoint_state.Endpoint, now: float) -> bool:
         """Whether a send to an endpoint is within our share now."""
-        per_s = self.limits.limit(endpoint.life)
+        per_s = self.limits.limit(endpoint.incarnation)
         if per_s is None:
             return True
         with self._lock:
-            return now >= self._due(endpoint.life, per_s, now).next_at
+            return now >= self._due(endpoint.incarnation, per_s, now).next_at
 
     def take(self, endpoint: endpoint_state.Endpoint) -> bool:
         """Count a send that goes out now; give whether it may."""
-        per_s = self.limits.limit(endpoint.life)
+        per_s = self.limits.limit(endpoint.incarnation)
         if per_s is None:
             return True
         now = self._clock.now()
         with self._lock:
-            pace = self._due(endpoint.life, per_s, now)
+            pace = self._due(endpoint.incarnation, per_s, now)
             pace.note_wanted(now)
             if now < pace.next_at:
                 self.paced += 1
@@ -246,32 +246,32 @@
 
     def turn(self, endpoint: endpoint_state.Endpoint) -> Turn:
         """Give when our next sends to an endpoint are due."""
-        per_s = self.limits.limit(endpoint.life)
+        per_s = self.limits.limit(endpoint.incarnation)
         if per_s is None:
             return ANY_TIME
         with self._lock:
-            pace = self._due(endpoint.life, per_s, self._clock.now())
+            pace = self._due(endpoint.incarnation, per_s, self._clock.now())
             return Turn(pace.next_at, pace.per_s)
 
     def note_wanted(self, endpoint: endpoint_state.Endpoint) -> None:
         """Note a request that would have gone there, had our share allowed it."""
         with self._lock:
             self.paced += 1
-            self._pace(endpoint.life).note_wanted(self._clock.now())
+            self._pace(endpoint.incarnation).note_wanted(self._clock.now())
 
-    def _pace(self, life: str) -> Pace:
-        return self._paces.setdefault(life, Pace())
+    def _pace(self, incarnation: str) -> Pace:
+        return self._paces.setdefault(incarnation, Pace())
 
-    def _due(self, life: str, per_s: float, now: float) -> Pace:
+    def _due(self, incarnation: str, per_s: float, now: float) -> Pace:
         """Give the pace of an endpoint with the share that is ours now."""
-        pace = self._pace(life)
+        pace = self._pace(incarnation)
         if not pace.needs_share(now):
             return pace
         per_s = max(USED_SHARE * per_s, TRIAL_PER_S)
         gateways = self._gateways()
         others: list[Claim] = []
         if gateways and pace.may_borrow(per_s / gateways, now):
-            others = self._others(life)
+            others = self._others(incarnation)
         pace.set_share(share(per_s, gateways, pace.wanted_per_s(now), others), now)
         if gateways > BEGIN_S * per_s:
             pace.begin(now, self._rng.random())
@@ -279,13 +279,13 @@
 
     # -- What gateways tell each other --
 
-    def _others(self, life: str) -> list[Claim]:
+    def _others(self, incarnation: str) -> list[Claim]:
         """Give what those want that told it lately; silence lends nothing."""
         since = self._clock.now() - CLAIM_S
         return [
-            claims[life]
+            claims[incarnation]
             for told_at, claims in self._claims.values()
-            if told_at >= since and life in claims
+            if told_at >= since and incarnation in claims
         ]
 
     def news(self) -> list[rate_limits.LimitNews]:
@@ -293,11 +293,12 @@
         now = self._clock.now()
         with self._lock:
             wanted = {
-                life: pace.wanted_per_s(now) for life, pace in self._paces.items()
+                incarnation: pace.wanted_per_s(now)
+                for incarnation, pace in self._paces.items()
             }
         return self.limits.news(wanted)
 
-    def take_news(
+    def record_news(
         self,
         sender: str,
         members: int,
@@ -310,7 +311,7 @@
         :param age_s: how long the news were on their way, seconds.
         """
         if news:
-            self.limits.take_news(sender, news, age_s)
+            self.limits.record_news(sender, news, age_s)
         claims = {one.endpoint: Claim(members, one.wanted_per_s) for one in news}
         with self._lock:
             self._claims[sender] = (self._clock.now(), claims)
@@ -324,6 +325,6 @@
         """
         self.limits.forget_old(lives)
         with self._lock:
-            for life in list(self._paces):
-                if self.limits.limit(life) is None:
-                    del self._paces[life]
+            for incarnation in list(self._paces):
+                if self.limits.limit(incarnation) is None:
+                    del self._paces[incarnation]
--- a/gaprock/request_mark.py
+++ b/gaprock/request_fingerprint.py
@@ -15,7 +15,7 @@
 KEY_BYTES: typing.Final = hashlib.blake2b.MAX_KEY_SIZE
 
 
-def mark_of(caller: str, host: str, path: str, body: bytes) -> int:
+def fingerprint_of(caller: str, host: str, path: str, body: bytes) -> int:
     """Give a request's mark.
 
     The caller is the hash's key, so that no caller can make a request with the mark of
--- a/gaprock/return_times.py
+++ b/gaprock/retry_schedule.py
@@ -26,7 +26,7 @@
 CALLER_SHARE: typing.Final = 0.3
 
 
-class ReturnTimes:
+class RetrySchedule:
     """The line of those who come back; safe for all threads."""
 
     __slots__ = ("_lock", "_ends", "_last_at")
--- a/gaprock/retry_window.py
+++ b/gaprock/retry_window.py
@@ -64,7 +64,7 @@
             self._allowance = allowance
             self._window_s = window_s
 
-    def note_first(self, service: str, now: float) -> None:
+    def record_first(self, service: str, now: float) -> None:
         """Count a request."""
         with self._lock:
             self._windows[service].firsts.append(now)
--- a/gaprock/rollout_evidence.py
+++ b/gaprock/rollout_evidence.py
@@ -2,7 +2,7 @@
 
 import threading
 
-from gaprock import evidence, messages, policy_api, rollout_pace
+from gaprock import evidence, messages, policy_api, rollout_latency
 
 
 class RolloutEvidence:
@@ -16,12 +16,16 @@
         # The guard's records belong to whoever holds it.
         self._lock = threading.Lock()
         # How long the stable version's answers take, by service and kind of answer.
-        self._paces: dict[tuple[str, str], rollout_pace.Pace] = {}
+        self._paces: dict[tuple[str, str], rollout_latency.Pace] = {}
         # Routes with evidence of their own.
         self._routes: dict[str, set[str]] = {}
 
     def weigh(
-        self, service: str, kind: str, answer: rollout_pace.Judged, is_new: bool
+        self,
+        service: str,
+        kind: str,
+        answer: rollout_latency.VersionSample,
+        is_new: bool,
     ) -> str | None:
         """Say what an answer holds against its version; empty for nothing.
 
@@ -31,7 +35,9 @@
         """
         # Times and multiples of what was expected are not to be compared.
         unit = "seconds" if answer.expected_s is None else "multiple"
-        pace = self._paces.setdefault((service, f"{kind}/{unit}"), rollout_pace.Pace())
+        pace = self._paces.setdefault(
+            (service, f"{kind}/{unit}"), rollout_latency.Pace()
+        )
         slow = answer.slow(pace)
         if answer.is_open and not slow:
             return None
@@ -54,7 +60,7 @@
         routes = self._routes.get(label, set())
         self._routes.setdefault(new_label, set()).update(routes)
 
-    def note_routes(self, counters: list[messages.Evidence]) -> None:
+    def learn_routes(self, counters: list[messages.Evidence]) -> None:
         """Learn from others' evidence which routes a rollout has."""
         for counts in counters:
             label, _, rest = counts.version.partition("/")
@@ -78,11 +84,12 @@
                 return f"{reason}, stable {old.bad} of {old.answers}"
         return ""
 
-    def is_doubted(self, label: str) -> bool:
+    def is_suspected(self, label: str) -> bool:
         """Whether the latest evidence speaks against the new version."""
         with self._lock:
             return any(
-                self._guard.is_doubted(f"{label}{tail}") for tail in self._tails(label)
+                self._guard.is_suspected(f"{label}{tail}")
+                for tail in self._tails(label)
             )
 
     def _tails(self, label: str) -> list[str]:
--- a/gaprock/rollout_pace.py
+++ b/gaprock/rollout_latency.py
@@ -41,7 +41,7 @@
         return times[int(FAST_SHARE * len(times))]
 
 
-class Judged(typing.NamedTuple):
+class VersionSample(typing.NamedTuple):
     """What a send says of its version.
 
     :param took_s: seconds to its first part; ``None`` where that tells nothing.
--- a/gaprock/rollout_sessions.py
+++ b/gaprock/rollout_sessions.py
@@ -111,7 +111,7 @@
         with self._lock:
             _renew(self._own, mark, now)
 
-    def take_told(self, marks: typing.Iterable[int], now: float) -> None:
+    def merge_reported(self, marks: typing.Iterable[int], now: float) -> None:
         """Take those that another gateway saw."""
         with self._lock:
             for mark in marks:
--- a/gaprock/rollout_state.py
+++ b/gaprock/rollout_state.py
@@ -116,7 +116,7 @@
         return now < self.started_at + min(HOLD_S, HOLD_SHARE * self.order.finish_s)
 
 
-class Side(typing.NamedTuple):
+class Assignment(typing.NamedTuple):
     """Where a session stands in a rollout.
 
     :param on_new: whether it gets the new version.
