--- a/gaprock/rollout_writer.py
+++ b/gaprock/rollout_writer.py
@@ -2,8 +2,8 @@
 
 Any gateway may write: each write is on condition that the outcome's row is as it was
 read, so two that write at once do no harm.  To save calls the living gateways take
-turns (``mesh.Mesh.turn``): the one that a hash puts first writes at once, the next one
-a little later.
+turns (``mesh.Mesh.duty_rank``): the one that a hash puts first writes at once, the next
+one a little later.
 """
 
 import typing
@@ -46,7 +46,7 @@
         dialect: gateway_api.Dialect,
         rollouts_: rollouts.Rollouts,
         mesh_: mesh.Mesh,
-        epochs: store_epochs.EpochBook | None = None,
+        epochs: store_epochs.EpochTracker | None = None,
     ) -> None:
         self._clock = clock_
         self._store_clock = store_clock
@@ -54,7 +54,7 @@
         self._dialect = dialect
         self._rollouts = rollouts_
         self._mesh = mesh_
-        self._epochs = epochs or store_epochs.EpochBook(clock_)
+        self._epochs = epochs or store_epochs.EpochTracker(clock_)
         # Versions of the outcome rows, by service, and the store's epoch of them all.
         self.row_versions: dict[str, int] = {}
         self.epoch = 0
@@ -75,7 +75,7 @@
                 # A condition of another epoch may hold by a version given out again.
                 continue
             due_at = self._due.setdefault((rollout.label, state), now)
-            turn_at = due_at + TURN_S * self._mesh.turn(rollout.label)
+            turn_at = due_at + TURN_S * self._mesh.duty_rank(rollout.label)
             if now >= turn_at and now >= self._quiet_until:
                 self._write(rollout, state)
 
@@ -91,7 +91,7 @@
         if rollout.state is not rollout_state.State.RUNNING:
             return rollout.state
         if self._has_moved(rollout, now):
-            if not self._rollouts.is_doubted(rollout):
+            if not self._rollouts.is_suspected(rollout):
                 return rollout_state.State.COMPLETED
             if now >= self._latest(rollout):
                 self._rollouts.halt(
@@ -114,7 +114,9 @@
         if now < moved_at + rollout_state.SETTLE_S:
             return False
         service = rollout.order.service
-        return now >= self._latest(rollout) or not self._mesh.on_old_version(service)
+        return now >= self._latest(rollout) or not self._mesh.count_on_old_version(
+            service
+        )
 
     def _latest(self, rollout: rollout_state.Rollout) -> float:
         """Give when the outcome is due at the latest."""
@@ -131,7 +133,7 @@
         key = self._dialect.outcome_key(service)
         writes = [gateway_api.Write(table, key, value, expect)]
         if state is rollout_state.State.RUNNING:
-            started = self._store_clock.latest_there(rollout.started_at)
+            started = self._store_clock.latest_store_time(rollout.started_at)
             start = msgspec.json.encode(StartRow(rollout.revision, started))
             writes.append(gateway_api.Write(own, START_PREFIX + service, start))
         try:
@@ -156,4 +158,4 @@
             outcome = rollout_state.Outcome(
                 rollout.order.to_version, state, done, self.epoch
             )
-            self._rollouts.take_outcome(service, outcome)
+            self._rollouts.apply_outcome(service, outcome)
--- a/gaprock/rollouts.py
+++ b/gaprock/rollouts.py
@@ -28,7 +28,7 @@
     messages,
     policy_api,
     rollout_evidence,
-    rollout_pace,
+    rollout_latency,
     rollout_sessions,
     rollout_state,
 )
@@ -88,7 +88,7 @@
 
     # -- Orders and outcomes --
 
-    def take_order(
+    def add_order(
         self,
         order: gateway_api.RolloutOrder,
         revision: int,
@@ -170,7 +170,7 @@
         if told.halt_reason:
             self.halt(service, revision, told.halt_reason, epoch)
 
-    def take_outcome(self, service: str, outcome: rollout_state.Outcome) -> None:
+    def apply_outcome(self, service: str, outcome: rollout_state.Outcome) -> None:
         """Take what a row says became of a rollout."""
         with self._lock:
             self._outcomes[service] = outcome
@@ -231,7 +231,9 @@
                 by=by,
             )
 
-    def take_told(self, news: mesh_messages.RolloutNews, now: float, by: str) -> None:
+    def merge_reported(
+        self, news: mesh_messages.RolloutNews, now: float, by: str
+    ) -> None:
         """Take what another gateway tells of a rollout.
 
         :param now: when it was told.
@@ -243,7 +245,7 @@
             self.halt(news.service, revision, f"told by {by}", epoch)
         rollout = self._by_service.get(news.service)
         if rollout is not None and rollout.is_named(epoch, revision):
-            rollout.kept.take_told(news.kept, now)
+            rollout.kept.merge_reported(news.kept, now)
 
     def _note_told(
         self,
@@ -307,9 +309,9 @@
                 share = wanted
         return share
 
-    def side(
+    def assignment(
         self, service: str, session: str, is_named: bool = False
-    ) -> rollout_state.Side | None:
+    ) -> rollout_state.Assignment | None:
         """Give where a session stands; ``None`` without a rollout of the service.
 
         :param is_named: whether the caller named it, so that requests belong together.
@@ -321,7 +323,7 @@
         on_new = mark < self.share(rollout) * rollout_sessions.HASH_RANGE
         if on_new and is_named:
             on_new = not self._stays_on_old(rollout, session, mark)
-        return rollout_state.Side(rollout, on_new)
+        return rollout_state.Assignment(rollout, on_new)
 
     def _stays_on_old(
         self, rollout: rollout_state.Rollout, session: str, mark: int
@@ -335,13 +337,13 @@
             return version != rollout.order.to_version
         return rollout.is_held(now) or rollout.kept.is_told(mark, now)
 
-    def note_session(self, service: str, session: str, version: str) -> None:
+    def record_session(self, service: str, session: str, version: str) -> None:
         """Note that a request of a session is sent to a version."""
         now = self._clock.now()
         self._sessions.note(service, session, version, now)
         self._note_kept(service, session, version, now)
 
-    def note_session_end(self, service: str, session: str) -> None:
+    def record_session_end(self, service: str, session: str) -> None:
         """Note the end of a session's request; its rest begins now."""
         now = self._clock.now()
         self._sessions.note_end(service, session, now)
@@ -371,24 +373,27 @@
         if mark < self._canary * rollout_sessions.HASH_RANGE:
             rollout.kept.note(mark, seen_at)
 
-    def kept_sessions(self, rollout: rollout_state.Rollout) -> list[int]:
+    def pinned_sessions(self, rollout: rollout_state.Rollout) -> list[int]:
         """Give the sessions to tell others of, which go on on the old version."""
         now = self._clock.now()
         return rollout.kept.own(now) if rollout.keeps_sessions(now) else []
 
     def fits(self, service: str, version: str, session: str) -> bool:
         """Whether a request on its own may run on a version of a service."""
-        side = self.side(service, session)
-        return side is None or side.takes(version)
+        assignment = self.assignment(service, session)
+        return assignment is None or assignment.takes(version)
 
-    def is_narrow(self, side: rollout_state.Side) -> bool:
+    def is_canary_limited(self, assignment: rollout_state.Assignment) -> bool:
         """Whether a side may use a share of its endpoints alone."""
-        if not side.on_new or not mechanisms.CANARY_PLACE.on:
+        if not assignment.on_new or not mechanisms.CANARY_PLACE.on:
             return False
-        return self.share(side.rollout) < 1.0
+        return self.share(assignment.rollout) < 1.0
 
-    def narrow(
-        self, side: rollout_state.Side | None, names: list[str], near: list[str]
+    def allowed_endpoints(
+        self,
+        assignment: rollout_state.Assignment | None,
+        names: list[str],
+        near: list[str],
     ) -> typing.Collection[str]:
         """Give the endpoints that a request may go to.
 
@@ -398,13 +403,13 @@
         hall has enough of them, it is a share of those: what others have there is known
         best, and the wait behind that is no fault of the version.
 
-        :param side: where the request's session stands.
+        :param assignment: where the request's session stands.
         :param names: the usable endpoints of the session's version.
         :param near: those of them in the own hall.
         """
-        if side is None or not self.is_narrow(side):
+        if assignment is None or not self.is_canary_limited(assignment):
             return names
-        share = self.share(side.rollout)
+        share = self.share(assignment.rollout)
         if in_hall := round(share * len(near)):
             return sorted(near)[:in_hall]
         return sorted(names)[: max(1, int(share * len(names)))]
@@ -417,7 +422,7 @@
         version: str,
         route: str,
         pace: str,
-        answer: rollout_pace.Judged,
+        answer: rollout_latency.VersionSample,
     ) -> str:
         """Count an answer for or against its version.
 
@@ -440,7 +445,7 @@
         rollout = self._by_service.get(service)
         return rollout is not None and rollout.state is rollout_state.State.RUNNING
 
-    def is_unproved(self, service: str, version: str) -> bool:
+    def is_canary(self, service: str, version: str) -> bool:
         """Whether a version is being brought in."""
         rollout = self._by_service.get(service)
         if rollout is None or rollout.state is not rollout_state.State.RUNNING:
@@ -452,13 +457,13 @@
         for rollout in self.all():
             self._judge(rollout)
 
-    def note_routes(self, counters: list[messages.Evidence]) -> None:
+    def learn_routes(self, counters: list[messages.Evidence]) -> None:
         """Learn from others' evidence which routes a rollout has."""
-        self._evidence.note_routes(counters)
+        self._evidence.learn_routes(counters)
 
-    def is_doubted(self, rollout: rollout_state.Rollout) -> bool:
+    def is_suspected(self, rollout: rollout_state.Rollout) -> bool:
         """Whether the latest evidence speaks against a version, as of the last look."""
-        return self._evidence.is_doubted(rollout.label)
+        return self._evidence.is_suspected(rollout.label)
 
     def _judge(self, rollout: rollout_state.Rollout) -> None:
         if rollout.state is not rollout_state.State.RUNNING or rollout.halted:
--- a/gaprock/routes.py
+++ b/gaprock/routes.py
@@ -173,7 +173,7 @@
     :param number: its number; a higher one is newer.
     """
 
-    __slots__ = ("number", "services", "limits", "keyed", "_by_host", "_keys")
+    __slots__ = ("number", "services", "limits", "requires_key", "_by_host", "_keys")
 
     def __init__(
         self,
@@ -187,7 +187,7 @@
         self.services = {service.name: service for service in services}
         self.limits = limits
         # Whether requests need a key at all.
-        self.keyed = keys is not None
+        self.requires_key = keys is not None
         self._keys = keys or {}
         self._by_host: dict[str, list[Route]] = {}
         for route in sorted(routes, key=lambda r: len(r.prefix), reverse=True):
--- a/gaprock/row_exchange.py
+++ b/gaprock/row_exchange.py
@@ -24,7 +24,7 @@
     def config_number(self) -> int:
         """The number of the configuration in force; 0 before the first one."""
 
-    def take_config(self, row: gateway_api.Row) -> None:
+    def apply_config(self, row: gateway_api.Row) -> None:
         """Take the row of a configuration from a peer."""
 
 
@@ -42,12 +42,12 @@
         self,
         tables: list[followers.Follower],
         clock_: clock.Clock,
-        epochs: store_epochs.EpochBook | None = None,
+        epochs: store_epochs.EpochTracker | None = None,
         config: ConfigSink | None = None,
     ) -> None:
         self._followers = tables
         self._clock = clock_
-        self._epochs = epochs or store_epochs.EpochBook(clock_)
+        self._epochs = epochs or store_epochs.EpochTracker(clock_)
         self._config = config
         # The newest change that a peer told of and we lack, and since when, by table.
         self._missed: dict[int, tuple[tuple[int, int], float]] = {}
@@ -62,19 +62,19 @@
         """Give the seconds since we first heard of the store's epoch."""
         return int(min(OLDEST_EPOCH_S, self._epochs.age_s))
 
-    def own_proofs(self) -> list[float]:
+    def own_verified_at(self) -> list[float]:
         """Give the newest proofs of our own calls, by the store's clock."""
         return [follower.fresh.own_stamp for follower in self._followers]
 
-    def reads(self) -> bool:
+    def reads_store(self) -> bool:
         """Whether we read the store ourselves, and it answers."""
-        return all(f.connected and not f.resting for f in self._followers)
+        return all(f.connected and not f.on_standby for f in self._followers)
 
     def has_store(self) -> bool:
         """Whether the store answers us, whether we rest or not."""
         return all(follower.connected for follower in self._followers)
 
-    def take_news(
+    def record_news(
         self,
         table: int,
         news: mesh_messages.TableNews,
@@ -92,7 +92,7 @@
         if not 0 <= table < len(self._followers):
             return False
         follower = self._followers[table]
-        self._epochs.note(news.epoch, "peer", epoch_age_s)
+        self._epochs.record(news.epoch, "peer", epoch_age_s)
         # Saves more than a third of what four gateways call the store for, 0.0035 of a
         # day's worth (six days).
         if mechanisms.TOLD_PROOFS.on:
@@ -111,7 +111,7 @@
         self._missed[table] = newest, since
         if news.point <= known:
             return False
-        if follower.resting and not is_far:
+        if follower.on_standby and not is_far:
             return True
         return not follower.connected or now >= since + followers.BEHIND_S
 
@@ -139,21 +139,21 @@
         copy = mesh_messages.RowCopy(row.key, row.value, row.version)
         return mesh_messages.ConfigCopy(copy)
 
-    def take_config(self, copy: mesh_messages.ConfigCopy) -> None:
+    def apply_config(self, copy: mesh_messages.ConfigCopy) -> None:
         """Take a peer's configuration."""
         if self._config is not None:
             row = gateway_api.Row(copy.row.key, copy.row.value, copy.row.version)
-            self._config.take_config(row)
+            self._config.apply_config(row)
 
     # -- Rows --
 
-    def copied_to(self, table: int) -> tuple[int, int]:
+    def delta_base(self, table: int) -> tuple[int, int]:
         """Give the epoch and version after which a table's changes help us.
 
         :returns: a version of -1 where all of it is needed.
         """
         follower = self._followers[table]
-        return follower.epoch, follower.copied_to
+        return follower.epoch, follower.delta_base
 
     def copy(self, table: int, since: int = -1, epoch: int = 0) -> mesh_messages.Rows:
         """Give a table, or what has changed in it after a version if that is known."""
@@ -168,14 +168,14 @@
             table, follower.changed, copies, since, follower.epoch
         )
 
-    def take_copy(self, rows: mesh_messages.Rows) -> None:
+    def apply_copy(self, rows: mesh_messages.Rows) -> None:
         """Take a table, or its changes, from a peer."""
         found = [gateway_api.Row(r.key, r.value, r.version) for r in rows.rows]
         # A copy tells nothing of the store's clock.
         page = gateway_api.Page(found, rows.version, 0.0, rows.epoch)
         follower = self._followers[rows.table]
         if rows.since < 0:
-            follower.take_copy(page)
+            follower.apply_copy(page)
         else:
             follower.take_difference(page, rows.since)
         if rows.table in self._told:
--- a/gaprock/store_epochs.py
+++ b/gaprock/store_epochs.py
@@ -11,10 +11,10 @@
 
 # Within this time after a restore, seconds, the operator and the endpoints have written
 # again what it lost.  Until then a row that contradicts what was known is doubted.
-REWRITTEN_S: typing.Final = 10.0
+RESTORE_GRACE_S: typing.Final = 10.0
 
 
-class EpochBook:
+class EpochTracker:
     """The newest epoch that the store or another gateway told; safe for all threads."""
 
     __slots__ = ("_clock", "_lock", "newest", "raised_at", "restores")
@@ -29,7 +29,7 @@
         # How many times it rose since our start.
         self.restores = 0
 
-    def note(self, epoch: int, source: str, age_s: float = 0.0) -> None:
+    def record(self, epoch: int, source: str, age_s: float = 0.0) -> None:
         """Take an epoch; an earlier one changes nothing.
 
         :param source: who told it, for the log.
--- a/gaprock/test/fleetcase.py
+++ b/gaprock/test/fleetcase.py
@@ -57,22 +57,22 @@
     def lacks_config(self, number: int, orders: object) -> bool:
         return False
 
-    def own_proofs(self) -> list[float]:
+    def own_verified_at(self) -> list[float]:
         return []
 
     def has_store(self) -> bool:
         return self.answers
 
-    def reads(self) -> bool:
+    def reads_store(self) -> bool:
         return self.answers
 
-    def take_news(
+    def record_news(
         self, table: int, news: object, is_far: bool, epoch_age_s: float
     ) -> bool:
         """Whether a peer's copy would help."""
         return False
 
-    def copied_to(self, table: int) -> tuple[int, int]:
+    def delta_base(self, table: int) -> tuple[int, int]:
         return 0, -1
 
 
@@ -144,13 +144,15 @@
         # Gateways from which nothing comes, though they hear all.
         self.mute: set[str] = set()
         self.far_messages = self.far_bytes = self.near_bytes = 0
-        found = [mesh_members.Found(m.address, m.hall, m.name) for m in self.members]
+        found = [
+            mesh_members.PeerAddress(m.address, m.hall, m.name) for m in self.members
+        ]
         order = gateway_api.RolloutOrder(SERVICE, "v2", 60.0)
         for number, member in enumerate(self.members):
             member.mesh.found(found)
             # They begin at unlike moments.
             member.look_at = self.time.now() + 0.2 * number / len(self.members)
-            member.book.take_order(order, 1, self.time.now())
+            member.book.add_order(order, 1, self.time.now())
 
     def join(self, member: Member) -> None:
         """Take a gateway in that starts late."""
@@ -165,7 +167,7 @@
         """Give the gateways that run."""
         return [m for m in self.members if not m.is_dead and not m.is_frozen]
 
-    def carriers(self) -> list[Member]:
+    def hall_relays(self) -> list[Member]:
         """Give those that hold themselves for carriers."""
         return [m for m in self.living() if m.mesh._carried]
 
--- a/gaprock/test/gatewayfleet.py
+++ b/gaprock/test/gatewayfleet.py
@@ -88,7 +88,7 @@
             sock.sendall(data)
             return gatewaysite.Answer(gatewaysite.read_all(sock))
 
-    def let_tell(self) -> None:
+    def wait_for_gossip(self) -> None:
         """Wait until each gateway has told the others what it knows now."""
         for _ in range(TELLING_BEATS):
             before = [self._heard(gateway) for gateway in self.gateways]
--- a/gaprock/test/limitcase.py
+++ b/gaprock/test/limitcase.py
@@ -83,7 +83,9 @@
         ]
         return ENDPOINTS
 
-    def press(self, numbers: typing.Iterable[int], seconds: float) -> list[int]:
+    def send_continuously(
+        self, numbers: typing.Iterable[int], seconds: float
+    ) -> list[int]:
         """Have callers send to some gateways all the time; give the statuses."""
         until = time.monotonic() + seconds
         statuses: list[int] = []
--- a/gaprock/test/rolloutcase.py
+++ b/gaprock/test/rolloutcase.py
@@ -17,7 +17,7 @@
 from gaprock.platform import wire
 
 
-class Scripted(gateway_api.SharedStore):
+class ScriptedStore(gateway_api.SharedStore):
     """A store whose answers a test lays out."""
 
     __slots__ = ("pages", "commits", "answers")
@@ -61,7 +61,7 @@
 
     def __init__(self, time: clock.ManualClock) -> None:
         self.time = time
-        self.store = Scripted()
+        self.store = ScriptedStore()
         self.book = make_rollouts(time)
         self.directory = directory.Directory(time, 2.0)
         self.mesh = mesh.Mesh(
@@ -75,10 +75,10 @@
             quarantine.Quarantine(time),
         )
         self.on_old = 0
-        self.mesh.on_old_here = lambda service: self.on_old
+        self.mesh.own_on_old_version = lambda service: self.on_old
         # The rows were read from a store whose clock is ours.
         store_clock = freshness.StoreClock()
-        store_clock.note(0.0, 0.0, 0.0)
+        store_clock.record(0.0, 0.0, 0.0)
         self.writer = rollout_writer.RolloutWriter(
             time,
             store_clock,
--- a/gaprock/test/rowcase.py
+++ b/gaprock/test/rowcase.py
@@ -11,7 +11,7 @@
 BOUND_S: typing.Final = 2.0
 
 
-class Kept:
+class RecordingSink:
     """A sink that keeps what it was given."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         """The versions of the rows of the table as it is told."""
         return {key: row.version for key, row in self.rows.items()}
 
-    def take_page(self, page: gateway_api.Page, whole: bool) -> None:
+    def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         if whole:
             self.rows.clear()
         for row in page.rows:
@@ -61,12 +61,12 @@
         store: metastore.MetaStoreFake | None = None,
         rests: typing.Callable[[], bool] = lambda: False,
         kind: type[freshness.Freshness] = freshness.Freshness,
-        sink: Kept | None = None,
+        sink: RecordingSink | None = None,
         port: int = 0,
         is_left: typing.Callable[[], bool] = lambda: False,
     ) -> None:
         self.store = store or metastore.MetaStoreFake()
-        self.kept = sink or Kept()
+        self.kept = sink or RecordingSink()
         steady = clock.SteadyClock()
         self.fresh = kind(steady, freshness.StoreClock(), lambda: BOUND_S)
         self.follower = followers.Follower(
--- a/gaprock/test/testbackoffs.py
+++ b/gaprock/test/testbackoffs.py
@@ -311,11 +311,11 @@
     kind: str,
 ) -> None:
     with limitcase.Fleet(1, kind) as fleet:
-        fleet.press([0, 0], 0.3)
+        fleet.send_continuously([0, 0], 0.3)
         shedding = fleet.endpoints[0]
         shedding.confidence = "5"
         shedding.backoff = "2"
-        statuses = fleet.press([0] * 4, 1.9)
+        statuses = fleet.send_continuously([0] * 4, 1.9)
         asked_at = shedding.said_at
         assert asked_at < float("inf")
         assert shedding.between(asked_at + ON_WAY_S, asked_at + 2.0) <= 2
@@ -327,13 +327,13 @@
         for one in fleet.endpoints[1:]:
             one.limit = "0"
         shedding = fleet.endpoints[0]
-        fleet.press([0], 0.2)
+        fleet.send_continuously([0], 0.2)
         shedding.backoff = "0.5"
-        fleet.press([0, 0], 0.3)
+        fleet.send_continuously([0, 0], 0.3)
         shedding.backoff = ""
-        fleet.press([0, 0], 2.0)
+        fleet.send_continuously([0, 0], 2.0)
         before = len(shedding.arrivals)
-        assert set(fleet.press([0, 0], 0.3)) == {200}
+        assert set(fleet.send_continuously([0, 0], 0.3)) == {200}
         assert len(shedding.arrivals) > before + SLOTS
 
 
@@ -345,7 +345,7 @@
         for one in fleet.endpoints:
             one.backoff = "5"
         # Each of them is asked once.
-        fleet.press([0], 0.3)
+        fleet.send_continuously([0], 0.3)
         arrivals = sum(len(one.arrivals) for one in fleet.endpoints)
         for _ in range(20):
             answer = fleet.call(0, b"x")
--- a/gaprock/test/testdepartures.py
+++ b/gaprock/test/testdepartures.py
@@ -267,7 +267,9 @@
     late = fleetcase.Member(fleet, "h0", 99)
     late.directory.update("e", row())
     fleet.join(late)
-    late.mesh.found([mesh_members.Found(m.address, m.hall) for m in fleet.members[:-1]])
+    late.mesh.found(
+        [mesh_members.PeerAddress(m.address, m.hall) for m in fleet.members[:-1]]
+    )
     one = late.directory._endpoints["e"]
     fleet.run(2.0, until=lambda: one.leave_at < clock.NEVER)
     assert late.directory.claim_send(one) == "leaving"
@@ -301,11 +303,11 @@
     with limitcase.Fleet(3, kind) as fleet:
         # Models climb: each request is two sends.
         fleet.endpoints[0].confidence = "5"
-        fleet.press([0, 1, 2], 0.3)
+        fleet.send_continuously([0, 1, 2], 0.3)
         leaving = fleet.endpoints[0]
         leaving.is_leaving = True
         drain_s = fleet.site.cfg.bounds.drain_s
-        statuses = fleet.press([0, 0, 1, 2], drain_s + 1.5)
+        statuses = fleet.send_continuously([0, 0, 1, 2], drain_s + 1.5)
         told_at = leaving.said_at
         assert told_at < float("inf")
         assert leaving.between(told_at + drain_s, float("inf")) == 0
--- a/gaprock/test/testemptied.py
+++ b/gaprock/test/testemptied.py
@@ -38,7 +38,7 @@
         book = rolloutcase.make_rollouts(self.time)
         dialect = wire.PlatformDialect()
         self.rows = gateway_rows.OrderRows(
-            self.time, dialect, book, self.directory.set_emptied
+            self.time, dialect, book, self.directory.set_cordoned
         )
         for name, hall in (("a", "h1"), ("b", "h2")):
             row = gateway_api.EndpointRow(SERVICE, "10.0.0.1", 1, hall, "v1", 8, False)
@@ -49,7 +49,7 @@
     ) -> set[str]:
         """Take rows; give the endpoints that may be used then."""
         page = gateway_api.Page([gateway_api.Row(*row) for row in rows], 9, 0.0)
-        self.rows.take_page(page, whole)
+        self.rows.apply_page(page, whole)
         return {e.name for e in self.directory.usable(SERVICE, set())}
 
 
@@ -227,7 +227,7 @@
     for hall in ("h1", "h2", "h3", "h4"):
         row = gateway_api.EndpointRow(SERVICE, "10.0.0.1", 1, hall, "v1", 8, False)
         book.update(hall, row)
-    book.set_emptied(frozenset(f"h{number}" for number in emptied))
+    book.set_cordoned(frozenset(f"h{number}" for number in emptied))
     chooser, call = make_chooser(book), make_call(homes, own)
     allowed = {
         hall
@@ -240,7 +240,7 @@
     assert (found is None) == (not allowed)
     if found is not None:
         assert found[0].row.hall in allowed
-    assert chooser.is_shut_out(call) == (not allowed)
+    assert chooser.has_no_permitted_hall(call) == (not allowed)
 
 
 def test_a_request_whose_regions_have_no_endpoint_is_refused_at_once() -> None:
--- a/gaprock/test/testepochs.py
+++ b/gaprock/test/testepochs.py
@@ -105,8 +105,8 @@
 
     def __init__(self, store: ModelStore, clock_: clock.Clock) -> None:
         self.store = store
-        self.told = rowcase.Kept()
-        self.epochs = store_epochs.EpochBook(clock_)
+        self.told = rowcase.RecordingSink()
+        self.epochs = store_epochs.EpochTracker(clock_)
         self.fresh = freshness.Freshness(
             clock_, freshness.StoreClock(), lambda: rowcase.BOUND_S
         )
@@ -124,7 +124,7 @@
     def ask(self) -> None:
         """Make the next call, as the follower's thread does."""
         follower = self.follower
-        self.epochs.note(self.store.epoch, "store")
+        self.epochs.record(self.store.epoch, "store")
         if follower.version < 0 or follower._is_outdated:
             follower._read()
             return
@@ -135,7 +135,7 @@
 
     def take_answer(self, page: gateway_api.Page) -> None:
         """Read the answer of a poll, which may be of an earlier epoch."""
-        self.epochs.note(page.epoch, "store")
+        self.epochs.record(page.epoch, "store")
         try:
             self.follower._take_answer(page, None)
         except (gateway_api.HistoryGone, gateway_api.StoreError):
@@ -218,8 +218,8 @@
         if not member.beats:
             return
         news = member.beats.pop(-1 if last else 0)
-        if member.exchange.take_news(0, news):
-            epoch, since = member.exchange.copied_to(0)
+        if member.exchange.record_news(0, news):
+            epoch, since = member.exchange.delta_base(0)
             member.copies.append(other.exchange.copy(0, since, epoch))
 
     @stateful.rule(which=MEMBERS, peer=MEMBERS)
@@ -235,7 +235,7 @@
     def copy_comes(self, which: int) -> None:
         member = self.members[which]
         if member.copies:
-            member.exchange.take_copy(member.copies.pop(0))
+            member.exchange.apply_copy(member.copies.pop(0))
 
     # -- What holds --
 
@@ -285,14 +285,14 @@
 
 def test_a_proof_of_another_epoch_proves_nothing() -> None:
     one = Lone()
-    proved_at = one.fresh.proved_at
+    verified_at = one.fresh.verified_at
     one.time.advance(1.0)
     news = one.follower.news()
     other = mesh_messages.TableNews(
         news.changed, news.digest, one.store.now(), news.epoch + 1
     )
     one.follower.prove(other)
-    assert one.fresh.proved_at == proved_at
+    assert one.fresh.verified_at == verified_at
 
 
 def test_an_answer_of_an_earlier_epoch_is_dropped() -> None:
@@ -312,7 +312,7 @@
     for _ in range(3):
         one.store.change("b", True)
     one.ask()
-    epoch, since = one.exchange.copied_to(0)
+    epoch, since = one.exchange.delta_base(0)
     one.store.restore(2)
     one.ask()
     assert one.exchange.copy(0, since, epoch).since == -1
@@ -331,11 +331,11 @@
             [Lone().follower, follower], follower._clock, follower._epochs
         )
         # No call of ours is due: only the word of a peer can bring the reading about.
-        one.fresh.proved_at = clock.NEVER
+        one.fresh.verified_at = clock.NEVER
         store.is_silent_on_restore = True
         store.restore(3)
         store.put(rowcase.TABLE, "b", 1)
-        exchange.take_news(0, mesh_messages.TableNews(4, 0, 0.0, store.epoch))
+        exchange.record_news(0, mesh_messages.TableNews(4, 0, 0.0, store.epoch))
         gatewaysite.wait_until(lambda: "b" in one.kept.keys, "it is read anew")
 
 
@@ -362,10 +362,10 @@
 def test_a_store_that_answers_410_for_long_is_asked_with_pauses() -> None:
     time = clock.ManualClock(100.0)
     fresh = freshness.Freshness(time, freshness.StoreClock(), lambda: 0.0)
-    one = Pausing("t", Forgetful(time), time, rowcase.Kept(), fresh)
+    one = Pausing("t", Forgetful(time), time, rowcase.RecordingSink(), fresh)
     one.pauses = []
     # Each proof is too old at once, so that changes are asked for.
-    one.lost_at = 1.0
+    one.disconnected_at = 1.0
     one._run()
     assert one.pauses[0] == followers.FIRST_PAUSE_S
     assert one.pauses[-1] == followers.LONGEST_PAUSE_S
--- a/gaprock/test/testfleet.py
+++ b/gaprock/test/testfleet.py
@@ -39,8 +39,8 @@
 
 def follower(
     time: clock.ManualClock,
-) -> tuple[followers.Follower, rolloutcase.Scripted, rowcase.Kept]:
-    kept, scripted = rowcase.Kept(), rolloutcase.Scripted()
+) -> tuple[followers.Follower, rolloutcase.ScriptedStore, rowcase.RecordingSink]:
+    kept, scripted = rowcase.RecordingSink(), rolloutcase.ScriptedStore()
     return (
         followers.Follower("t", scripted, time, kept, rowcase.fresh(time)),
         scripted,
@@ -57,13 +57,13 @@
     one, scripted, kept = follower(time)
     scripted.pages = [page(5, ("a", b"1", 5), ("b", b"1", 5))]
     one._read()
-    one.take_copy(page(9, ("a", b"2", 9)))
+    one.apply_copy(page(9, ("a", b"2", 9)))
     assert kept.values == {"a": b"2"}
     # The poll that was under way tells older changes, one of a row that is gone again.
     scripted.pages = [page(8, ("a", b"old", 7), ("b", None, 8), ("c", b"1", 8))]
     one._ask(one.version)
     assert kept.values == {"a": b"2"}
-    one.take_copy(page(8, ("a", b"old", 7)))
+    one.apply_copy(page(8, ("a", b"old", 7)))
     assert kept.values == {"a": b"2"}
 
 
@@ -81,22 +81,22 @@
     one, scripted, _ = follower(time)
     scripted.pages = [page(5, ("a", b"1", 5))]
     one._read()
-    one.lost_at = clock.NEVER
+    one.disconnected_at = clock.NEVER
     exchange = row_exchange.RowExchange([one], time)
-    assert not exchange.take_news(0, news(6))
+    assert not exchange.record_news(0, news(6))
     time.advance(followers.BEHIND_S + 0.1)
     # Another one that is as far behind says nothing against it.
-    assert not exchange.take_news(0, news(5))
-    assert exchange.take_news(0, news(6))
-    assert not exchange.take_news(0, news(5))
-    one.lost_at = time.now()
-    assert exchange.take_news(0, news(6))
+    assert not exchange.record_news(0, news(5))
+    assert exchange.record_news(0, news(6))
+    assert not exchange.record_news(0, news(5))
+    one.disconnected_at = time.now()
+    assert exchange.record_news(0, news(6))
 
 
 def test_a_follower_that_rests_takes_copies_and_polls_again() -> None:
     fake = metastore.MetaStoreFake()
     fake.start()
-    kept, rests = rowcase.Kept(), [True]
+    kept, rests = rowcase.RecordingSink(), [True]
     client = store.PlatformStore(f"127.0.0.1:{fake.port}")
     steady = clock.SteadyClock()
     one = followers.Follower(
@@ -105,19 +105,21 @@
     exchange = row_exchange.RowExchange([one], steady)
     fake.put("t", "a", 1)
     one.start()
-    gatewaysite.wait_until(lambda: one.resting, "it rests once it has read the table")
-    assert not exchange.reads()
+    gatewaysite.wait_until(
+        lambda: one.on_standby, "it rests once it has read the table"
+    )
+    assert not exchange.reads_store()
     calls = len(fake.calls)
     version = fake.put("t", "b", 2)
-    assert exchange.take_news(0, news(version)) and not exchange.take_news(
+    assert exchange.record_news(0, news(version)) and not exchange.record_news(
         0, news(version), is_far=True
     )
-    one.take_copy(page(version, ("a", b"1", 1), ("b", b"2", version)))
+    one.apply_copy(page(version, ("a", b"1", 1), ("b", b"2", version)))
     assert sorted(kept.rows) == ["a", "b"] and len(fake.calls) == calls
     fake.put("t", "c", 3)
     rests[0] = False
     gatewaysite.wait_until(lambda: sorted(kept.rows) == ["a", "b", "c"], "polls")
-    assert not one.resting
+    assert not one.on_standby
     one.stop()
     fake.stop()
 
@@ -143,14 +145,14 @@
     hear("c", has_store=False)
     assert not case.mesh.has_readers()
     hear("c")
-    time.advance(mesh_members.READER_HEARD_S + 0.1)
+    time.advance(mesh_members.READER_TIMEOUT_S + 0.1)
     assert not case.mesh.has_readers()
 
 
 def test_the_store_is_followed_through_lost_history_and_outages() -> None:
     fake = metastore.MetaStoreFake()
     fake.start()
-    kept = rowcase.Kept()
+    kept = rowcase.RecordingSink()
     client = store.PlatformStore(f"127.0.0.1:{fake.port}")
     steady = clock.SteadyClock()
     one = followers.Follower("t", client, steady, kept, rowcase.fresh(steady))
@@ -188,7 +190,7 @@
 
 
 def test_each_call_to_the_store_is_counted_also_one_that_fails() -> None:
-    scripted = rolloutcase.Scripted()
+    scripted = rolloutcase.ScriptedStore()
     counts = gateway_metrics.GatewayMetrics()
     counted = gateway_store.CountedStore(scripted, counts)
     scripted.pages = [page(1), gateway_api.StoreError("no answer")]
--- a/gaprock/test/testfollowing.py
+++ b/gaprock/test/testfollowing.py
@@ -84,7 +84,7 @@
     """One gateway's side."""
 
     def __init__(self, store: ModelStore, clock_: clock.Clock) -> None:
-        self.told = rowcase.Kept()
+        self.told = rowcase.RecordingSink()
         self.fresh = freshness.Freshness(
             clock_, freshness.StoreClock(), lambda: rowcase.BOUND_S
         )
@@ -203,14 +203,14 @@
         if not member.beats:
             return
         news = member.beats.pop(-1 if last else 0)
-        if member.exchange.take_news(0, news):
+        if member.exchange.record_news(0, news):
             member.copies.append(peer.exchange.copy(0))
 
     @stateful.rule(which=MEMBERS)
     def copy_comes(self, which: int) -> None:
         member = self.members[which]
         if member.copies:
-            member.exchange.take_copy(member.copies.pop(0))
+            member.exchange.apply_copy(member.copies.pop(0))
 
     # -- What holds --
 
@@ -271,5 +271,5 @@
     world.beats_at_once(1)
     assert set(world.members[0].told.versions) == {"a"}
     # One that was asked for before comes now.
-    world.members[0].exchange.take_copy(late)
+    world.members[0].exchange.apply_copy(late)
     assert set(world.members[0].told.versions) == {"a"}
--- a/gaprock/test/testfreshness.py
+++ b/gaprock/test/testfreshness.py
@@ -118,29 +118,29 @@
     case = FreshCase(leads=False)
     case.time.advance(rowcase.BOUND_S)
     case.fresh.prove(100.5)
-    assert case.fresh.proved_at == 150.5
+    assert case.fresh.verified_at == 150.5
     case.fresh.prove(100.2)
-    assert case.fresh.proved_at == 150.5
+    assert case.fresh.verified_at == 150.5
     # A store that counts anew has stamps that mean nothing by the old offset.
     case.fresh.prove(5000.0)
-    assert case.fresh.proved_at == 150.5
+    assert case.fresh.verified_at == 150.5
 
 
 def test_a_peers_proof_counts_for_the_same_rows_alone() -> None:
     time = clock.ManualClock(150.0)
     store_clock = freshness.StoreClock()
-    store_clock.note(100.0, 150.0, 150.0)
+    store_clock.record(100.0, 150.0, 150.0)
     fresh = freshness.Freshness(time, store_clock, lambda: rowcase.BOUND_S)
     one = followers.Follower(
-        "t", gateway_api.SharedStore(), time, rowcase.Kept(), fresh
+        "t", gateway_api.SharedStore(), time, rowcase.RecordingSink(), fresh
     )
     row = gateway_api.Row("a", b"1", 7)
-    one.take_copy(gateway_api.Page([row], 7, 0.0))
+    one.apply_copy(gateway_api.Page([row], 7, 0.0))
     for other in ({}, {"a": row._replace(version=6)}, {"a": row, "b": row}):
         one.prove(mesh_messages.TableNews(7, followers.digest(other), 100.0))
-    assert fresh.proved_at == 0.0
+    assert fresh.verified_at == 0.0
     one.prove(mesh_messages.TableNews(7, followers.digest({"a": row}), 100.0))
-    assert fresh.proved_at == 150.0
+    assert fresh.verified_at == 150.0
 
 
 class ByHurryAlone(freshness.Freshness):
@@ -168,7 +168,7 @@
         swallow_table_poll(case)
         version = case.store.put("t", "c", 1)
         rows = [gateway_api.Row(key, b"1", n) for n, key in enumerate("abc", 1)]
-        case.follower.take_copy(gateway_api.Page(rows, version, 0.0))
+        case.follower.apply_copy(gateway_api.Page(rows, version, 0.0))
         calls = case.store.calls.count("/-/rows-feed")
         gatewaysite.wait_until(
             lambda: case.store.calls.count("/-/rows-feed") >= calls + 2,
@@ -180,10 +180,10 @@
 
 def test_a_follower_that_rests_asks_when_no_proof_reaches_it() -> None:
     with rowcase.FollowedStore(rests=lambda: True) as case:
-        gatewaysite.wait_until(lambda: case.follower.resting, "it rests")
+        gatewaysite.wait_until(lambda: case.follower.on_standby, "it rests")
         case.store.put("t", "b", 1)
         gatewaysite.wait_until(lambda: "b" in case.kept.keys, "it asked by itself")
-        assert case.follower.resting
+        assert case.follower.on_standby
 
 
 class ChangingStore(metastore.MetaStoreFake):
@@ -223,13 +223,13 @@
         assert one.store.faults["refuse_tx"] == 0
 
 
-class FailsOnce(rowcase.Kept):
+class FailsOnce(rowcase.RecordingSink):
     """A sink with a fault that one page of rows brings about."""
 
-    def take_page(self, page: gateway_api.Page, whole: bool) -> None:
+    def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         if not whole:
             raise AttributeError("a fault of ours")
-        super().take_page(page, whole)
+        super().apply_page(page, whole)
 
 
 def test_a_follower_outlives_a_fault_of_its_sink() -> None:
@@ -279,13 +279,13 @@
         case.mesh._peers[name] = mesh_peers.Peer(name, name, None, steady.now())
         case.mesh._on_beat(beat)
 
-    assert not case.mesh.tries_for_us()
+    assert not case.mesh.peers_probe_store()
     hear("z", True)
-    assert case.mesh.tries_for_us()
+    assert case.mesh.peers_probe_store()
     hear("z", False)
     hear("a", False)
-    assert not case.mesh.tries_for_us()
+    assert not case.mesh.peers_probe_store()
     hear("b", False)
-    assert case.mesh.tries_for_us()
-    steady.advance(mesh_members.READER_HEARD_S + 0.1)
-    assert not case.mesh.tries_for_us()
+    assert case.mesh.peers_probe_store()
+    steady.advance(mesh_members.READER_TIMEOUT_S + 0.1)
+    assert not case.mesh.peers_probe_store()
--- a/gaprock/test/testgatewaystops.py
+++ b/gaprock/test/testgatewaystops.py
@@ -214,9 +214,9 @@
                 and last.orders.table.number == number,
                 f"configuration {number}",
             )
-            if all(follower.resting for follower in last.followers):
+            if all(follower.on_standby for follower in last.followers):
                 break
-        assert all(follower.resting for follower in last.followers)
+        assert all(follower.on_standby for follower in last.followers)
         first.store.put("op", "config", gatewaysite.config(50))
         gatewaysite.wait_until(
             lambda: last.orders.table is not None and last.orders.table.number == 50,
--- a/gaprock/test/testgone.py
+++ b/gaprock/test/testgone.py
@@ -8,7 +8,6 @@
 import pytest
 
 from gaprock import (
-    absences,
     clock,
     directory,
     errorcodes,
@@ -18,7 +17,8 @@
     gateway_find,
     gateway_quarantine,
     gateway_serve,
-    paced_line,
+    outages,
+    paced_queue,
     quarantine,
     rate_pacing,
     routes,
@@ -91,7 +91,7 @@
         self._time = self._clock = time
         self._finds = finds
         self._chooser = typing.cast(gateway_choose.Chooser, Turns(next_at))
-        self._line = paced_line.PacedLine()
+        self._queue = paced_queue.PacedQueue()
 
     def find(self, call: gateway_call.Call, *more: object) -> typing.Any:
         self._time.advance(0.01)
@@ -198,21 +198,21 @@
 
 
 def test_callers_come_back_when_such_an_absence_is_usually_over() -> None:
-    book = absences.Absences(random.Random(1))
+    book = outages.Outages(random.Random(1))
     for gone_at in (100.0, 200.0):
-        book.note_gone("s", gone_at)
-        book.note_there("s", gone_at + 3.0)
-    book.note_gone("s", 300.0)
-    first = [book.come_back_s("s", 300.0, 60.0) for _ in range(20)]
-    later = [book.come_back_s("s", 302.0, 60.0) for _ in range(20)]
+        book.record_outage("s", gone_at)
+        book.record_recovery("s", gone_at + 3.0)
+    book.record_outage("s", 300.0)
+    first = [book.retry_after_s("s", 300.0, 60.0) for _ in range(20)]
+    later = [book.retry_after_s("s", 302.0, 60.0) for _ in range(20)]
     assert all(3.0 <= wait <= 4.5 for wait in first)
     assert all(1.0 <= wait <= 2.5 for wait in later)
     assert len(set(first)) > 10
 
 
 def test_nobody_is_told_to_stay_away_for_longer_than_callers_heed() -> None:
-    book = absences.Absences()
-    book.note_gone("s", 100.0)
+    book = outages.Outages()
+    book.record_outage("s", 100.0)
     for caller_s in (0.1, 1.0, 4.0):
-        longest = max(absences.SHORTEST_S, absences.CALLER_SHARE * caller_s)
-        assert book.come_back_s("s", 100.0, caller_s) <= longest
+        longest = max(outages.SHORTEST_S, outages.CALLER_SHARE * caller_s)
+        assert book.retry_after_s("s", 100.0, caller_s) <= longest
--- a/gaprock/test/testhalls.py
+++ b/gaprock/test/testhalls.py
@@ -54,7 +54,7 @@
 def test_two_carriers_of_each_hall_speak_to_the_other_halls(
     large: fleetcase.Fleet,
 ) -> None:
-    names = sorted(m.name for m in large.carriers())
+    names = sorted(m.name for m in large.hall_relays())
     assert names == [f"gw-h{hall}-00{n}" for hall in range(5) for n in range(2)]
     assert all(m.mesh.members() == 70 for m in large.members)
 
@@ -72,7 +72,7 @@
 
 def test_small_fleets_tell_each_other_directly() -> None:
     fleet = settled(3, 2)
-    assert len(fleet.carriers()) == 6
+    assert len(fleet.hall_relays()) == 6
     names = {m.name for m in fleet.members}
     for member in fleet.members:
         assert {*member.mesh.living(), member.name} == names
@@ -135,11 +135,11 @@
     finder = fleet.members[-1]
     for member in fleet.members:
         add_endpoints(member)
-    finder.directory.unreachable(finder.directory._endpoints["e0"], "no port")
+    finder.directory.eject(finder.directory._endpoints["e0"], "no port")
 
     def is_known() -> bool:
         others = [m for m in fleet.members if m is not finder]
-        return all(m.directory._endpoints["e0"].is_doubted for m in others)
+        return all(m.directory._endpoints["e0"].is_suspected for m in others)
 
     assert fleet.run(2.0, is_known) <= TOLD_S
     # And no more when it is heard again.
@@ -206,11 +206,11 @@
             member.is_dead = how == "dead"
             member.is_frozen = how == "frozen"
     fleet.run(PASSED_S)
-    others = {m.name for m in fleet.carriers() if m.hall == "h1" and m not in lost}
+    others = {m.name for m in fleet.hall_relays() if m.hall == "h1" and m not in lost}
     assert others == {"gw-h1-002", "gw-h1-003"}
     # Both ways, and before anybody took the hall for silent.
     assert reach(fleet, fleet.hall("h1")[-1]) <= TOLD_S + mesh_peers.BUSY_BEAT_S
-    assert all("h1" in m.mesh.halls.carriers() for m in fleet.hall("h0"))
+    assert all("h1" in m.mesh.halls.hall_relays() for m in fleet.hall("h0"))
 
 
 def test_a_carrier_that_wakes_tells_nothing_old_and_carries_again() -> None:
@@ -226,15 +226,15 @@
     fleet.run(PASSED_S, lambda: first.rollout.halted)
     assert first.rollout.halted
     fleet.run(SETTLED_S)
-    carriers = sorted(m.name for m in fleet.carriers() if m.hall == "h0")
-    assert carriers == ["gw-h0-000", "gw-h0-001"]
+    hall_relays = sorted(m.name for m in fleet.hall_relays() if m.hall == "h0")
+    assert hall_relays == ["gw-h0-000", "gw-h0-001"]
 
 
 def test_halls_that_were_cut_off_for_minutes_find_each_other_again() -> None:
     fleet = settled(2, 3)
     fleet.mute.update(m.name for m in fleet.members)
     fleet.run(120.0)
-    assert all(not m.mesh.halls.carriers() for m in fleet.members)
+    assert all(not m.mesh.halls.hall_relays() for m in fleet.members)
     # Those that spoke for their halls do not come back with the connection.
     for hall in ("h0", "h1"):
         for member in fleet.hall(hall)[:2]:
@@ -259,9 +259,9 @@
         for peer in list(member.mesh._far()):
             del member.mesh._peers[peer.address]
     fleet.run(5.0)
-    known = [carrier.name for carrier in first.mesh.halls.carriers()["h1"]]
+    known = [hall_relay.name for hall_relay in first.mesh.halls.hall_relays()["h1"]]
     assert known == ["gw-h1-000", "gw-h1-001"]
-    assert last.name not in [m.name for m in fleet.carriers()]
+    assert last.name not in [m.name for m in fleet.hall_relays()]
 
 
 # -- Summaries --
@@ -287,7 +287,7 @@
     assert watcher.load == 4 and watcher.backlog.told == 2000
     for member in fleet.hall("h1"):
         member.is_dead = True
-    fleet.run(mesh_halls.SILENT_S + PASSED_S)
+    fleet.run(mesh_halls.SUMMARY_TIMEOUT_S + PASSED_S)
     assert watcher.load == 0 and watcher.backlog.told == 0
 
 
@@ -310,10 +310,10 @@
     assert book.members() == 3 and book.on_old("llm") == 3
     book.take(news(0.1, 4), now + 0.1, True)
     assert book.members() == 4
-    book.take(news(mesh_halls.SILENT_S + 0.1, 7, "h3"), now, False)
+    book.take(news(mesh_halls.SUMMARY_TIMEOUT_S + 0.1, 7, "h3"), now, False)
     book.take(news(0.0, 8, "h0"), now, False)
     assert book.members() == 4
-    book.forget_silent(now + mesh_halls.SILENT_S + 0.1)
+    book.forget_silent(now + mesh_halls.SUMMARY_TIMEOUT_S + 0.1)
     assert book.members() == 0
 
 
@@ -321,15 +321,15 @@
     fleet = fleetcase.Fleet(1, 1)
     book, now = fleet.members[0].mesh.halls, fleet.time.now()
     book.take(news(0.0, 3), now, False)
-    assert [n.members for n in book.to_pass_on(now + 0.2)] == [3]
-    assert [n.age_s for n in book.to_pass_on(now + 0.2)] == []
+    assert [n.members for n in book.summaries_to_forward(now + 0.2)] == [3]
+    assert [n.age_s for n in book.summaries_to_forward(now + 0.2)] == []
     book.take(news(0.0, 4), now + 0.3, False)
-    assert book.to_pass_on(now + 0.3) == []
+    assert book.summaries_to_forward(now + 0.3) == []
     book.take(news(0.0, 4, halted=True), now + 0.4, False)
-    assert [n.members for n in book.to_pass_on(now + 0.4)] == [4]
+    assert [n.members for n in book.summaries_to_forward(now + 0.4)] == [4]
     # Another carrier has passed a newer one on.
     book.take(news(0.0, 5), now + 1.3, True)
-    assert book.to_pass_on(now + 1.3) == []
+    assert book.summaries_to_forward(now + 1.3) == []
 
 
 def test_silent_halls_are_tried_address_by_address() -> None:
@@ -357,7 +357,7 @@
     assert {member.mesh.members() for member in fleet.members} == {1}
     taken = 0
     for member in fleet.members:
-        budget = retry_window.RetryWindow(0.5, 35.0, 10.0, member.mesh.most_gateways)
+        budget = retry_window.RetryWindow(0.5, 35.0, 10.0, member.mesh.peak_gateways)
         taken += sum(budget.take("s", fleet.time.now()) for _ in range(50))
     assert 0 < taken <= 35
 
@@ -366,6 +366,6 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     with gatewaysite.GatewaySite() as site:
-        monkeypatch.setattr(site.gateway.mesh, "most_gateways", lambda: 10)
+        monkeypatch.setattr(site.gateway.mesh, "peak_gateways", lambda: 10)
         left = site.gateway.budget.left("s", 0.0)
         assert left <= site.cfg.bounds.budget_allowance / 10
--- a/gaprock/test/testlimits.py
+++ b/gaprock/test/testlimits.py
@@ -80,9 +80,9 @@
     limits.note_answer(one, limited_to(2.4), 99.5)
     time.advance(1.0)
     limits.note_answer(one, NO_LIMIT, 99.9)
-    assert limits.limit(one.life) == 2.4
+    assert limits.limit(one.incarnation) == 2.4
     limits.note_answer(one, NO_LIMIT, 100.5)
-    assert limits.limit(one.life) is None
+    assert limits.limit(one.incarnation) is None
 
 
 def test_a_lower_limit_counts_at_once_and_a_higher_one_in_its_order() -> None:
@@ -91,18 +91,18 @@
     one = endpoint()
     limits.note_answer(one, limited_to(5.0), 99.0)
     limits.note_answer(one, limited_to(2.0), 99.0)
-    assert limits.limit(one.life) == 2.0
+    assert limits.limit(one.incarnation) == 2.0
     time.advance(1.0)
     limits.note_answer(one, limited_to(5.0), 99.9)
-    assert limits.limit(one.life) == 2.0
+    assert limits.limit(one.incarnation) == 2.0
     limits.note_answer(one, limited_to(5.0), 100.1)
-    assert limits.limit(one.life) == 5.0
+    assert limits.limit(one.incarnation) == 5.0
 
 
 def test_a_limit_is_that_of_one_life() -> None:
     limits = rate_limits.RateLimits(clock.ManualClock(100.0))
     limits.note_answer(endpoint(born=1), limited_to(2.0), 99.0)
-    assert limits.limit(endpoint(born=2).life) is None
+    assert limits.limit(endpoint(born=2).incarnation) is None
 
 
 @hypothesis.given(
@@ -125,10 +125,10 @@
     named: tuple[float | None, float] = (None, 0.0)
     for pause, took, per_s in answers:
         time.advance(pause)
-        before = limits.limit(one.life)
+        before = limits.limit(one.incarnation)
         notice = NO_LIMIT if per_s is None else limited_to(per_s)
         limits.note_answer(one, notice, time.now() - took)
-        after = limits.limit(one.life)
+        after = limits.limit(one.incarnation)
         is_relaxed = before is not None and (after is None or after > before)
         assert not (is_relaxed and time.now() - took <= named[1])
         if per_s is not None and after == per_s:
@@ -144,8 +144,8 @@
     time.advance(1.0)
     limits.note_answer(over, NO_LIMIT, 100.5)
     time.advance(rate_limits.KEEP_S + 1.0)
-    limits.forget_old({over.life, there.life})
-    assert list(limits._known) == [there.life]
+    limits.forget_old({over.incarnation, there.incarnation})
+    assert list(limits._known) == [there.incarnation]
 
 
 # -- How it is divided --
@@ -252,8 +252,8 @@
 # -- Who knows --
 
 
-def limits_of(fleet: fleetcase.Fleet, life: str) -> set[float | None]:
-    return {m.directory.pacer.limits.limit(life) for m in fleet.living()}
+def limits_of(fleet: fleetcase.Fleet, incarnation: str) -> set[float | None]:
+    return {m.directory.pacer.limits.limit(incarnation) for m in fleet.living()}
 
 
 def test_all_gateways_hear_of_a_limit_and_of_its_end() -> None:
@@ -262,16 +262,16 @@
     one = endpoint()
     first = fleet.members[-1].directory.pacer.limits
     first.note_answer(one, limited_to(2.4), fleet.time.now())
-    took_s = fleet.run(3.0, until=lambda: limits_of(fleet, one.life) == {2.4})
+    took_s = fleet.run(3.0, until=lambda: limits_of(fleet, one.incarnation) == {2.4})
     assert took_s <= 1.0
     fleet.run(0.5)
     other = fleet.members[0].directory.pacer.limits
     other.note_answer(one, NO_LIMIT, fleet.time.now())
-    fleet.run(3.0, until=lambda: limits_of(fleet, one.life) == {None})
-    assert limits_of(fleet, one.life) == {None}
+    fleet.run(3.0, until=lambda: limits_of(fleet, one.incarnation) == {None})
+    assert limits_of(fleet, one.incarnation) == {None}
     # Nothing old brings it back, and it is forgotten in the end.
     fleet.run(rate_limits.KEEP_S + 2.0)
-    assert limits_of(fleet, one.life) == {None}
+    assert limits_of(fleet, one.incarnation) == {None}
 
 
 def test_one_that_starts_hears_of_limits_and_one_that_hears_nobody_keeps_them() -> None:
@@ -284,13 +284,15 @@
     fleet.run(1.0)
     late = fleetcase.Member(fleet, "h0", 99)
     fleet.join(late)
-    late.mesh.found([mesh_members.Found(m.address, m.hall) for m in fleet.members[:-1]])
-    fleet.run(2.0, until=lambda: limits_of(fleet, one.life) == {2.4})
-    assert limits_of(fleet, one.life) == {2.4}
+    late.mesh.found(
+        [mesh_members.PeerAddress(m.address, m.hall) for m in fleet.members[:-1]]
+    )
+    fleet.run(2.0, until=lambda: limits_of(fleet, one.incarnation) == {2.4})
+    assert limits_of(fleet, one.incarnation) == {2.4}
     for member in fleet.members[:-1]:
         member.is_dead = True
     fleet.run(20.0)
-    assert late.directory.pacer.limits.limit(one.life) == 2.4
+    assert late.directory.pacer.limits.limit(one.incarnation) == 2.4
 
 
 def test_word_of_a_limit_does_not_grow_newer_by_being_told() -> None:
@@ -303,7 +305,7 @@
     )
     fleet.run(20.0)
     for member in fleet.members:
-        known = member.directory.pacer.limits._known[one.life]
+        known = member.directory.pacer.limits._known[one.incarnation]
         assert fleet.time.now() - known.as_of > 20.0 - rate_limits.SAME_S
 
 
@@ -316,12 +318,12 @@
     with limitcase.Fleet(3, kind) as fleet:
         for one in fleet.endpoints:
             one.confidence = "5"
-        fleet.press([0, 1, 2], 0.3)
+        fleet.send_continuously([0, 1, 2], 0.3)
         in_need = fleet.endpoints[0]
         in_need.limit = "2.5"
-        fleet.press([0, 1, 2], 0.3)
-        fleet.let_tell()
+        fleet.send_continuously([0, 1, 2], 0.3)
+        fleet.wait_for_gossip()
         told_at = time.monotonic()
-        statuses = fleet.press([0, 0, 1, 2], limitcase.WINDOW_S + 1.0)
+        statuses = fleet.send_continuously([0, 0, 1, 2], limitcase.WINDOW_S + 1.0)
         assert 1 <= in_need.most_since(told_at) <= 2.5 * limitcase.WINDOW_S + 3
         assert set(statuses) == {200}
--- a/gaprock/test/testmechanisms.py
+++ b/gaprock/test/testmechanisms.py
@@ -53,14 +53,14 @@
 def test_without_the_middle_models_the_largest_is_asked() -> None:
     policy = policy_models.Confidence()
     mechanisms.switch_off(["middle-models"])
-    assert policy.climb(testrouting.ask_three(), "small", 45) == "large"
+    assert policy.escalate(testrouting.ask_three(), "small", 45) == "large"
 
 
 def test_without_strain_a_slow_model_is_asked_as_well() -> None:
     policy = policy_models.Confidence()
-    assert policy.climb(testrouting.ask(0.8), "small", 5) is None
+    assert policy.escalate(testrouting.ask(0.8), "small", 5) is None
     mechanisms.switch_off(["strain"])
-    assert policy.climb(testrouting.ask(0.8), "small", 5) == "large"
+    assert policy.escalate(testrouting.ask(0.8), "small", 5) == "large"
 
 
 def test_without_told_proofs_a_peers_counts_nothing() -> None:
@@ -68,15 +68,15 @@
     world.change({"a": True})
     world.ask(0)
     world.ask(1)
-    proved_at = world.members[1].fresh.proved_at
+    verified_at = world.members[1].fresh.verified_at
     mechanisms.switch_off(["told-proofs"])
     world.time_passes()
     world.ask(0)
     world.beats_at_once(0)
-    assert world.members[1].fresh.proved_at == proved_at
+    assert world.members[1].fresh.verified_at == verified_at
     mechanisms.TOLD_PROOFS.on = True
     world.beats_at_once(0)
-    assert world.members[1].fresh.proved_at > proved_at
+    assert world.members[1].fresh.verified_at > verified_at
 
 
 def test_without_told_loads_and_prompts_only_our_own_count() -> None:
@@ -84,9 +84,9 @@
     book.replace({"a": testrouting.row()})
     book.set_memory({"app": 1000})
     endpoint = book.usable("app", set())[0]
-    marks = prefix_cache.marks_of("m", [("a", 10)])
+    hashes = prefix_cache.prefix_hashes("m", [("a", 10)])
     mechanisms.switch_off(["told-loads", "told-prompts"])
-    book.take_loads("other", {"a": endpoint_state.Load(2, 300.0)})
-    book.take_prompts([("a", marks)])
+    book.apply_peer_loads("other", {"a": endpoint_state.Load(2, 300.0)})
+    book.apply_peer_prompts([("a", hashes)])
     assert (endpoint.load, endpoint.backlog.told) == (0, 0.0)
-    assert endpoint.cache.kept(marks) == 0
+    assert endpoint.cache.cached(hashes) == 0
--- a/gaprock/test/testmovedsessions.py
+++ b/gaprock/test/testmovedsessions.py
@@ -8,7 +8,7 @@
     clock,
     freshness,
     gateway_api,
-    gateway_own,
+    gateway_own_rows,
     gateway_rows,
     rollout_state,
 )
@@ -23,9 +23,9 @@
 
 def run_request(member: fleetcase.Member, session: str) -> str:
     """Have a request of a session choose its version, as the gateway does."""
-    side = member.book.side(SERVICE, session, is_named=True)
-    version = "v2" if side is not None and side.on_new else "v1"
-    member.book.note_session(SERVICE, session, version)
+    assignment = member.book.assignment(SERVICE, session, is_named=True)
+    version = "v2" if assignment is not None and assignment.on_new else "v1"
+    member.book.record_session(SERVICE, session, version)
     return version
 
 
@@ -40,7 +40,7 @@
         run_request(members[number % len(members)], session)
     order = gateway_api.RolloutOrder(SERVICE, "v2", 40.0)
     for member in members:
-        member.book.take_order(order, 2, fleet.time.now())
+        member.book.add_order(order, 2, fleet.time.now())
     moved = set()
     fresh: dict[str, str] = {}
     for turn in range(1, 9):
@@ -66,12 +66,12 @@
         run_request(first, session)
     order = gateway_api.RolloutOrder(SERVICE, "v2", 40.0)
     for member in fleet.members:
-        member.book.take_order(order, 2, fleet.time.now())
+        member.book.add_order(order, 2, fleet.time.now())
     # Nothing has been told yet.
     assert {run_request(last, session) for session in SESSIONS} == {"v1"}
 
 
-class LateStore(rolloutcase.Scripted):
+class LateStore(rolloutcase.ScriptedStore):
     """A store whose clock runs 1,000 s ahead of ours and which answers late.
 
     :param before_s: how long a call waits before the store looks at it, seconds.
@@ -107,7 +107,7 @@
     store_clock = freshness.StoreClock()
     case.writer._store, case.writer._store_clock = store, store_clock
     orders = gateway_rows.OrderRows(time, wire.PlatformDialect(), case.book)
-    task = gateway_own.OwnRowsTask(
+    task = gateway_own_rows.OwnRowsTask(
         "me", time, store_clock, store, "own", case.mesh, case.book, orders,
         case.writer, [],
     )  # fmt: skip
@@ -127,7 +127,7 @@
     to_reader.rows = to_writer.rows
     first, _ = read_own_rows(time, to_writer)
     began = time.now()
-    first.book.take_order(rolloutcase.order(), 7, began)
+    first.book.add_order(rolloutcase.order(), 7, began)
     first.writer.step()
     _, orders = read_own_rows(time, to_reader)
     return orders.starts[("llm", 7)] - began
@@ -155,12 +155,12 @@
     store_clock = freshness.StoreClock()
     case.writer._store, case.writer._store_clock = store, store_clock
     began = time.now()
-    case.book.take_order(rolloutcase.order(), 7, began)
+    case.book.add_order(rolloutcase.order(), 7, began)
     case.writer.step()
     _, orders = read_own_rows(time, store)
     assert orders.starts.get(("llm", 7), began) >= began - DATED_S
     assert case.book.all()[0].state is rollout_state.State.RUNNING
     # Once it has answered, the start is written.
-    store_clock.note(time.now() + 1000.0, time.now(), time.now())
+    store_clock.record(time.now() + 1000.0, time.now(), time.now())
     case.writer.step()
     assert "rollout/llm" in store.rows
--- a/gaprock/test/testoddrows.py
+++ b/gaprock/test/testoddrows.py
@@ -13,7 +13,7 @@
     freshness,
     gateway_api,
     gateway_rows,
-    odd_rows,
+    invalid_rows,
     rollout_state,
     rollout_writer,
 )
@@ -94,7 +94,7 @@
     """Give a document without each of its fields, and with each of another type."""
     without = [{k: v for k, v in doc.items() if k != name} for name in doc]
     wrong: list[typing.Any] = [None, [], {"a": 1}, True]
-    others = [{**doc, name: odd} for name in doc for odd in wrong]
+    others = [{**doc, name: invalid} for name in doc for invalid in wrong]
     return without + others
 
 
@@ -103,8 +103,8 @@
     # Not all endpoints say when they started.
     *[doc for doc in lacking(ENDPOINT) if "born" in doc],
     *(
-        {**ENDPOINT, name: odd}
-        for name, odd in [
+        {**ENDPOINT, name: invalid}
+        for name, invalid in [
             ("State", "resting"),
             ("State", ""),
             ("Service", ""),
@@ -133,26 +133,30 @@
 
 
 @pytest.mark.parametrize("whole", [False, True])
-@pytest.mark.parametrize("odd", ODD_ENDPOINTS, ids=lambda odd: str(odd)[:40])
+@pytest.mark.parametrize(
+    "invalid", ODD_ENDPOINTS, ids=lambda invalid: str(invalid)[:40]
+)
 def test_an_odd_row_names_no_endpoint_and_the_others_hold(
-    odd: object, whole: bool
+    invalid: object, whole: bool
 ) -> None:
     tables = Tables()
     good = [("a", ENDPOINT), ("c", ENDPOINT)]
-    tables.endpoints.take_page(page(*good, ("b", ENDPOINT)), whole=True)
+    tables.endpoints.apply_page(page(*good, ("b", ENDPOINT)), whole=True)
     assert tables.usable() == {"a", "b", "c"}
-    tables.endpoints.take_page(page(("a", ENDPOINT), ("b", odd), good[1]), whole=whole)
+    tables.endpoints.apply_page(
+        page(("a", ENDPOINT), ("b", invalid), good[1]), whole=whole
+    )
     assert tables.usable() == {"a", "c"}
-    assert tables.endpoints.odd.count == 1
+    assert tables.endpoints.invalid.count == 1
     # Its writer puts it right with its next heartbeat.
-    tables.endpoints.take_page(page(("b", ENDPOINT)), whole=False)
+    tables.endpoints.apply_page(page(("b", ENDPOINT)), whole=False)
     assert tables.usable() == {"a", "b", "c"}
 
 
 def test_an_endpoint_that_says_no_start_is_used() -> None:
     tables = Tables()
     doc = {name: value for name, value in ENDPOINT.items() if name != "born"}
-    tables.endpoints.take_page(page(("a", doc)), whole=True)
+    tables.endpoints.apply_page(page(("a", doc)), whole=True)
     assert tables.usable() == {"a"}
 
 
@@ -166,15 +170,17 @@
 ]
 
 
-@pytest.mark.parametrize("odd", ODD_ORDERS, ids=lambda odd: str(odd)[:40])
-def test_an_odd_order_changes_nothing(odd: object) -> None:
+@pytest.mark.parametrize("invalid", ODD_ORDERS, ids=lambda invalid: str(invalid)[:40])
+def test_an_odd_order_changes_nothing(invalid: object) -> None:
     tables = Tables()
     rows = [("config", gatewaysite.config(4)), ("rollout/app", ORDER)]
-    tables.orders.take_page(page(*rows), whole=True)
+    tables.orders.apply_page(page(*rows), whole=True)
     before = tables.state()
-    tables.orders.take_page(page(("rollout/app", odd), ("config", b"{")), whole=False)
+    tables.orders.apply_page(
+        page(("rollout/app", invalid), ("config", b"{")), whole=False
+    )
     assert tables.state() == before
-    assert tables.orders.odd.count == 2
+    assert tables.orders.invalid.count == 2
 
 
 ODD_OUTCOMES: typing.Final[list[object]] = [
@@ -185,28 +191,31 @@
 ]
 
 
-@pytest.mark.parametrize("odd", ODD_OUTCOMES, ids=lambda odd: str(odd)[:40])
-def test_an_odd_outcome_changes_nothing(odd: object) -> None:
+@pytest.mark.parametrize("invalid", ODD_OUTCOMES, ids=lambda invalid: str(invalid)[:40])
+def test_an_odd_outcome_changes_nothing(invalid: object) -> None:
     tables = Tables()
-    tables.orders.take_page(page(("rollout/app", ORDER)), whole=True)
+    tables.orders.apply_page(page(("rollout/app", ORDER)), whole=True)
     before = tables.state()
-    tables.outcomes.take_page(page(("x", {}), ("rollout/app", odd)), whole=True)
+    tables.outcomes.apply_page(page(("x", {}), ("rollout/app", invalid)), whole=True)
     assert tables.state() == before
-    assert tables.outcomes.odd.count == 1
+    assert tables.outcomes.invalid.count == 1
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid",
     [
         *ODD_BYTES,
-        *({**PEER, "address": odd} for odd in (7, "", "ipc:///x", "tcp://a/b:1")),
+        *(
+            {**PEER, "address": invalid}
+            for invalid in (7, "", "ipc:///x", "tcp://a/b:1")
+        ),
         {"hall": "h1"},
     ],
-    ids=lambda odd: str(odd)[:40],
+    ids=lambda invalid: str(invalid)[:40],
 )
-def test_an_odd_peer_is_not_looked_for(odd: object) -> None:
+def test_an_odd_peer_is_not_looked_for(invalid: object) -> None:
     time = clock.ManualClock(100.0)
-    rows = page(("peer/a", odd), ("peer/b", PEER), ("rollout/app", odd))
+    rows = page(("peer/a", invalid), ("peer/b", PEER), ("rollout/app", invalid))
     own = gateway_rows.OwnRows(time, rows, freshness.StoreClock())
     assert set(own.peers) == {"b"} and own.starts == {}
 
@@ -215,7 +224,7 @@
 def test_an_odd_start_dates_nothing(change: dict[str, typing.Any]) -> None:
     time = clock.ManualClock(100.0)
     known = freshness.StoreClock()
-    known.note(0.0, 0.0, 0.0)
+    known.record(0.0, 0.0, 0.0)
     key = rollout_writer.START_PREFIX + "app"
     own = gateway_rows.OwnRows(time, page((key, {**START, **change})), known)
     assert own.starts == ({} if change else {("app", 3): 100.0})
@@ -223,20 +232,20 @@
 
 def test_a_row_that_stays_odd_is_logged_now_and_then() -> None:
     time = clock.ManualClock(100.0)
-    odd = odd_rows.OddRows("t", time)
+    invalid = invalid_rows.InvalidRows("t", time)
     row = gateway_api.Row("a", b"x", 1)
     logged: list[float] = []
     for _ in range(40):
-        before = dict(odd._logged)
-        odd.note(row, ValueError("odd"))
-        if odd._logged != before:
+        before = dict(invalid._logged)
+        invalid.record(row, ValueError("odd"))
+        if invalid._logged != before:
             logged.append(time.now())
         time.advance(1.0)
-    assert odd.count == 40
-    assert len(logged) == 40 // odd_rows.LOG_EVERY_S
-    for number in range(2 * odd_rows.MAX_KNOWN):
-        odd.note(row._replace(key=f"k{number}"), ValueError("odd"))
-    assert len(odd._logged) == odd_rows.MAX_KNOWN
+    assert invalid.count == 40
+    assert len(logged) == 40 // invalid_rows.LOG_EVERY_S
+    for number in range(2 * invalid_rows.MAX_KNOWN):
+        invalid.record(row._replace(key=f"k{number}"), ValueError("odd"))
+    assert len(invalid._logged) == invalid_rows.MAX_KNOWN
 
 
 JSON: typing.Final = st.recursive(
@@ -246,7 +255,7 @@
     max_leaves=6,
 )
 VALUES: typing.Final = st.binary(max_size=60) | st.builds(
-    lambda doc, name, odd: msgspec.json.encode({**doc, name: odd}),
+    lambda doc, name, invalid: msgspec.json.encode({**doc, name: invalid}),
     st.sampled_from([ENDPOINT, ORDER, OUTCOME]),
     st.sampled_from(["Service", "Addr", "State", "Slots", "born", "FinishByS", "x"]),
     JSON,
@@ -260,16 +269,16 @@
 ) -> None:
     with_it, without = Tables(), Tables()
     for tables in (with_it, without):
-        tables.orders.take_page(page(("rollout/other", ORDER)), whole=True)
+        tables.orders.apply_page(page(("rollout/other", ORDER)), whole=True)
     good: list[tuple[str, object]] = [("a", ENDPOINT), ("c", ENDPOINT)]
     rows = good[:place] + [("z", value)] + good[place:]
-    with_it.endpoints.take_page(page(*rows), whole=whole)
-    without.endpoints.take_page(page(*good), whole=whole)
+    with_it.endpoints.apply_page(page(*rows), whole=whole)
+    without.endpoints.apply_page(page(*good), whole=whole)
     assert with_it.usable() - {"z"} == without.usable()
     orders: list[tuple[str, object]] = [("config", gatewaysite.config(4))]
-    with_it.orders.take_page(page(("rollout/z", value), *orders), whole=whole)
-    without.orders.take_page(page(*orders), whole=whole)
+    with_it.orders.apply_page(page(("rollout/z", value), *orders), whole=whole)
+    without.orders.apply_page(page(*orders), whole=whole)
     assert with_it.orders.table is not None and without.orders.table is not None
-    with_it.outcomes.take_page(page(("rollout/z", value)), whole=whole)
+    with_it.outcomes.apply_page(page(("rollout/z", value)), whole=whole)
     ours = [r for r in with_it.case.book.all() if r.revision == 1]
     assert all(r.state is rollout_state.State.RUNNING for r in ours)
--- a/gaprock/test/testownpoison.py
+++ b/gaprock/test/testownpoison.py
@@ -85,7 +85,7 @@
             s.entries[0].quarantine.note(mark, life, weight)
         threading.Event().wait(0.3)
         late = s.start_entry()
-        site.wait_until(lambda: late.quarantine.holds(mark) > 0, "it hears of it")
+        site.wait_until(lambda: late.quarantine.held_for_s(mark) > 0, "it hears of it")
 
 
 def test_a_whole_answer_clears(mortals: None) -> None:
@@ -99,6 +99,6 @@
             b'"stream": false}',
         )
         book.note(call.mark, "a", quarantine.BEGUN_WEIGHT)
-        assert book.suspects(call.mark)
+        assert book.is_suspected(call.mark)
         assert s.chat(0).status == 200
-        assert not book.suspects(call.mark)
+        assert not book.is_suspected(call.mark)
--- a/gaprock/test/testpaced.py
+++ b/gaprock/test/testpaced.py
@@ -5,14 +5,14 @@
 import hypothesis
 import hypothesis.strategies as st
 
-from gaprock import clock, errorcodes, paced_line, rate_pacing
+from gaprock import clock, errorcodes, paced_queue, rate_pacing
 from gaprock.test import callcase, gatewaysite, limitcase
 
 # -- The line --
 
 
 def test_the_most_urgent_goes_first_and_then_who_came_first() -> None:
-    line = paced_line.PacedLine()
+    line = paced_queue.PacedQueue()
     turn = rate_pacing.Turn(100.0, 2.0)
     calls = [callcase.call(5), callcase.call(1), callcase.call(5), callcase.call(1)]
     places = [line.enter(one) for one in calls]
@@ -24,7 +24,7 @@
 
 
 def test_services_have_lines_of_their_own() -> None:
-    line = paced_line.PacedLine()
+    line = paced_queue.PacedQueue()
     one, other = callcase.call(1, "a"), callcase.call(5, "b")
     line.enter(one)
     place = line.enter(other)
@@ -35,7 +35,7 @@
 
 @hypothesis.given(st.lists(st.integers(0, 9), max_size=20))
 def test_the_line_is_in_order_and_ends_empty(urgencies: list[int]) -> None:
-    line = paced_line.PacedLine()
+    line = paced_queue.PacedQueue()
     waiting = [(one, line.enter(one)) for one in map(callcase.call, urgencies)]
     served = []
     while waiting:
@@ -49,15 +49,15 @@
 
 
 def test_refused_callers_come_back_at_the_pace_of_sends() -> None:
-    line = paced_line.PacedLine()
+    line = paced_queue.PacedQueue()
     turn = rate_pacing.Turn(100.5, 4.0)
-    waits = [line.come_back_s(callcase.call(1), turn, 100.0, 20.0) for _ in range(4)]
+    waits = [line.retry_after_s(callcase.call(1), turn, 100.0, 20.0) for _ in range(4)]
     steps = [round(after - before, 6) for before, after in zip(waits, waits[1:])]
     assert steps == [0.25, 0.25, 0.25]
 
 
 def test_endpoints_that_take_nothing_at_all_let_nobody_wait() -> None:
-    line = paced_line.PacedLine()
+    line = paced_queue.PacedQueue()
     one = callcase.call(1)
     place = line.enter(one)
     assert line.sent_at(one, place, rate_pacing.Turn(clock.NEVER, 0.0)) == clock.NEVER
@@ -71,7 +71,7 @@
     with limitcase.Fleet(1, "safe") as fleet:
         for one in fleet.endpoints:
             one.limit = "2"
-        fleet.press([0, 0], 0.5)
+        fleet.send_continuously([0, 0], 0.5)
         answers: list[gatewaysite.Answer] = []
 
         def ask() -> None:
@@ -96,4 +96,4 @@
     with limitcase.Fleet(1, "safe") as fleet:
         for one in fleet.endpoints[:2]:
             one.limit = "0"
-        assert set(fleet.press([0] * 4, 1.0)) == {200}
+        assert set(fleet.send_continuously([0] * 4, 1.0)) == {200}
--- a/gaprock/test/testpoison.py
+++ b/gaprock/test/testpoison.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gaprock import clock, quarantine, request_mark
+from gaprock import clock, quarantine, request_fingerprint
 from gaprock.test import gatewaysite, poisoncase
 from gaprock.test import site as site_module
 from gaprock.test.fakes import backend
@@ -19,7 +19,7 @@
         first = fleet.call(0, poisoncase.POISON)
         # It has run, so nothing is promised.
         assert first.status == 502 and "retry-after" not in first.headers
-        fleet.let_tell()
+        fleet.wait_for_gossip()
         for number in [0, 1, 2] * 3:
             again = fleet.call(number, poisoncase.POISON)
             assert again.status == 503 and float(again.headers["retry-after"]) > 0
@@ -28,14 +28,14 @@
         assert len(fleet.service.arrivals) == 3
 
 
-def mark_of(target: str, body: bytes) -> int:
-    return request_mark.mark_of("ws", gatewaysite.HOST, target, body)
+def fingerprint_of(target: str, body: bytes) -> int:
+    return request_fingerprint.fingerprint_of("ws", gatewaysite.HOST, target, body)
 
 
 def hold(site: gatewaysite.GatewaySite, mark: int) -> None:
     """Have a gateway hear that a request ended three endpoints."""
     lives = {life: quarantine.BEGUN_WEIGHT for life in "abc"}
-    site.gateway.quarantine.take([quarantine.SuspectNews(mark, lives)], is_far=False)
+    site.gateway.quarantine.take([quarantine.SuspectUpdate(mark, lives)], is_far=False)
 
 
 @pytest.mark.parametrize("target", ["/gen/x", "/safe/x", "/unsafe/x"])
@@ -45,7 +45,7 @@
         fake.usual = backend.hang
         later = site.call_later(target, X_Deadline_Ms="20000")
         gatewaysite.wait_until(lambda: bool(fake.seen), "it waits there")
-        hold(site, mark_of(target, b""))
+        hold(site, fingerprint_of(target, b""))
         answer = later.get()
         assert fake.seen[0].closed.wait(site_module.WAIT_S)
         # It may have run, so nothing is promised, and it is sent nowhere else.
@@ -75,13 +75,13 @@
         gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
         # It has run for longer than any poison request does.
         threading.Event().wait(2 * quarantine.JUST_BEGUN_S)
-        mark = mark_of("/gen/x", b"p")
+        mark = fingerprint_of("/gen/x", b"p")
         hold(site, mark)
         assert site.generate().status == 503
         go_on.set()
         answer = later.get()
         assert answer.whole and answer.body.count(b"id: ") == 4
-        gatewaysite.wait_until(lambda: not site.gateway.quarantine.holds(mark))
+        gatewaysite.wait_until(lambda: not site.gateway.quarantine.held_for_s(mark))
         assert site.generate().whole
 
 
@@ -115,7 +115,7 @@
     with gatewaysite.GatewaySite() as site:
         fake = site.add("one", "app")
         site.gateway.quarantine.note(
-            mark_of("/safe/x", b""), "a", quarantine.BEGUN_WEIGHT
+            fingerprint_of("/safe/x", b""), "a", quarantine.BEGUN_WEIGHT
         )
         fake.usual = backend.hang
         first = site.call_later("/safe/x", X_Deadline_Ms="20000")
--- a/gaprock/test/testpolicies.py
+++ b/gaprock/test/testpolicies.py
@@ -244,7 +244,7 @@
     budget = entry_budget.RetryBudget(0.1)
     granted = 0
     for _ in range(1000):
-        budget.note_first()
+        budget.record_first()
         granted += budget.take_second()
     assert 99 <= granted <= 101
 
--- a/gaprock/test/testprompts.py
+++ b/gaprock/test/testprompts.py
@@ -9,7 +9,7 @@
 from gaprock import (
     clock,
     directory,
-    directory_told,
+    directory_peers,
     endpoint_state,
     messages,
     policy_api,
@@ -24,21 +24,21 @@
 
 def test_a_prompt_is_kept_for_its_model_up_to_the_first_other_part() -> None:
     cache = prefix_cache.PrefixCache()
-    cache.use(prefix_cache.marks_of("small", PARTS), 10_000)
+    cache.use(prefix_cache.prefix_hashes("small", PARTS), 10_000)
     other_own = [*PARTS[:2], ("other", 100)]
     other_first = [("else", 300), *PARTS[1:]]
-    assert cache.kept(prefix_cache.marks_of("small", PARTS)) == 1000
-    assert cache.kept(prefix_cache.marks_of("small", other_own)) == 800
-    assert cache.kept(prefix_cache.marks_of("small", other_first)) == 0
-    assert cache.kept(prefix_cache.marks_of("large", PARTS)) == 0
+    assert cache.cached(prefix_cache.prefix_hashes("small", PARTS)) == 1000
+    assert cache.cached(prefix_cache.prefix_hashes("small", other_own)) == 800
+    assert cache.cached(prefix_cache.prefix_hashes("small", other_first)) == 0
+    assert cache.cached(prefix_cache.prefix_hashes("large", PARTS)) == 0
 
 
 def test_the_part_used_longest_ago_gives_way_from_its_end() -> None:
     cache = prefix_cache.PrefixCache()
-    old = prefix_cache.marks_of("m", [("a", 400), ("b", 400)])
+    old = prefix_cache.prefix_hashes("m", [("a", 400), ("b", 400)])
     cache.use(old, 1000)
-    cache.use(prefix_cache.marks_of("m", [("c", 500)]), 1000)
-    assert cache.kept(old) == 400
+    cache.use(prefix_cache.prefix_hashes("m", [("c", 500)]), 1000)
+    assert cache.cached(old) == 400
 
 
 @hypothesis.settings(derandomize=True, max_examples=100)
@@ -51,11 +51,11 @@
     cache = prefix_cache.PrefixCache()
     seen: dict[int, int] = {}
     for parts in prompts:
-        marks = prefix_cache.marks_of("m", parts)
-        cache.use(marks, 100)
-        seen.update(marks)
-    kept = [k for k in seen if cache.kept([prefix_cache.Mark(k, 1)])]
-    assert sum(seen[k] for k in kept) <= 100
+        hashes = prefix_cache.prefix_hashes("m", parts)
+        cache.use(hashes, 100)
+        seen.update(hashes)
+    cached = [k for k in seen if cache.cached([prefix_cache.PrefixHash(k, 1)])]
+    assert sum(seen[k] for k in cached) <= 100
 
 
 def fleet() -> list[directory.Directory]:
@@ -68,31 +68,33 @@
 
 def test_prompts_are_told_to_other_gateways_once() -> None:
     here, there = fleet()
-    marks = prefix_cache.marks_of("m", PARTS)
+    hashes = prefix_cache.prefix_hashes("m", PARTS)
     count, first = here.prompts_since(0)
     assert (count, first) == (0, [])
-    endpoint, prompt = here.usable("app", set())[0], endpoint_state.Prompt(900.0, marks)
+    endpoint, prompt = here.usable("app", set())[0], endpoint_state.Prompt(
+        900.0, hashes
+    )
     here.begin(endpoint, prompt)
     # What is only being read is no help for another one yet.
-    assert endpoint.cache.kept(marks) == 0
+    assert endpoint.cache.cached(hashes) == 0
     assert here.prompts_since(0) == (0, [])
     here.read(endpoint, prompt)
     count, told = here.prompts_since(0)
-    there.take_prompts(told)
-    assert there.usable("app", set())[0].cache.kept(marks) == 1000
+    there.apply_peer_prompts(told)
+    assert there.usable("app", set())[0].cache.cached(hashes) == 1000
     assert here.prompts_since(count) == (count, [])
 
 
 def test_a_peer_that_was_told_nothing_gets_no_more_than_is_remembered() -> None:
     here, _ = fleet()
     endpoint = here.usable("app", set())[0]
-    for number in range(directory_told.TOLD_PROMPTS + 5):
-        marks = prefix_cache.marks_of("m", [(str(number), 1)])
-        here.read(endpoint, endpoint_state.Prompt(1.0, marks))
+    for number in range(directory_peers.TOLD_PROMPTS + 5):
+        hashes = prefix_cache.prefix_hashes("m", [(str(number), 1)])
+        here.read(endpoint, endpoint_state.Prompt(1.0, hashes))
     count, told = here.prompts_since(0)
     assert (count, len(told)) == (
-        directory_told.TOLD_PROMPTS + 5,
-        directory_told.TOLD_PROMPTS,
+        directory_peers.TOLD_PROMPTS + 5,
+        directory_peers.TOLD_PROMPTS,
     )
     assert here.prompts_since(count - 2)[1] == told[-2:]
 
@@ -100,11 +102,11 @@
 def test_a_send_that_brought_no_answer_leaves_nothing_behind() -> None:
     here, _ = fleet()
     endpoint = here.usable("app", set())[0]
-    prompt = endpoint_state.Prompt(900.0, prefix_cache.marks_of("m", PARTS))
+    prompt = endpoint_state.Prompt(900.0, prefix_cache.prefix_hashes("m", PARTS))
     here.begin(endpoint, prompt)
     here.drop(endpoint, prompt)
     assert endpoint.backlog.told == 0.0
-    assert endpoint.cache.kept(prompt.marks) == 0
+    assert endpoint.cache.cached(prompt.hashes) == 0
 
 
 def candidate(name: str, unread: float) -> policy_api.Candidate:
@@ -155,8 +157,8 @@
     backlogs, read = [0.0] * len(engines), 0
     for number in range(600):
         parts = [(f"subject-{rng.randrange(53)}", 13_300), (f"own-{number}", 3_720)]
-        marks = prefix_cache.marks_of("m", parts)
-        readings = [17_020 - engine.kept(marks) for engine in engines]
+        hashes = prefix_cache.prefix_hashes("m", parts)
+        readings = [17_020 - engine.cached(hashes) for engine in engines]
         seen = readings if knows else [17_020] * len(engines)
         choices = [
             candidate(str(n), (backlogs[n] + seen[n]) / 17_020)
@@ -165,7 +167,7 @@
         chosen = policy.choose(choices, rng)
         assert chosen is not None
         place = int(chosen.name)
-        engines[place].use(marks, 370_000)
+        engines[place].use(hashes, 370_000)
         backlogs = [max(0.0, tokens - 2_000) for tokens in backlogs]
         backlogs[place] += readings[place]
         read += readings[place]
--- a/gaprock/test/testquarantine.py
+++ b/gaprock/test/testquarantine.py
@@ -48,42 +48,42 @@
     book: quarantine.Quarantine, weights: list[int], is_held: bool
 ) -> None:
     for number, weight in enumerate(weights):
-        assert not book.holds(MARK)
+        assert not book.held_for_s(MARK)
         book.note(MARK, f"life-{number}", weight)
-    assert bool(book.holds(MARK)) is is_held
-    assert not book.holds(MARK + 1)
+    assert bool(book.held_for_s(MARK)) is is_held
+    assert not book.held_for_s(MARK + 1)
 
 
 def test_one_end_counts_once_whoever_tells_of_it(book: quarantine.Quarantine) -> None:
     for _ in range(9):
         book.note(MARK, "a", BEGUN)
-        book.take([quarantine.SuspectNews(MARK, {"a": BEGUN})], is_far=False)
-    assert book.suspects(MARK) and not book.holds(MARK)
+        book.take([quarantine.SuspectUpdate(MARK, {"a": BEGUN})], is_far=False)
+    assert book.is_suspected(MARK) and not book.held_for_s(MARK)
     # What says more of the same end goes before.
     book.note(MARK, "b", OPEN)
     book.note(MARK, "b", BEGUN)
     book.note(MARK, "c", BEGUN)
-    assert book.holds(MARK)
+    assert book.held_for_s(MARK)
 
 
 def test_a_whole_answer_clears_and_what_is_told_late_does_not_undo_it(
     book: quarantine.Quarantine, time: clock.ManualClock
 ) -> None:
     end_three(book)
-    told = book.news(OWN, is_all_held=True)
+    told = book.news(OWN, include_held=True)
     book.clear(MARK)
-    assert not book.holds(MARK) and not book.suspects(MARK)
+    assert not book.held_for_s(MARK) and not book.is_suspected(MARK)
     book.take(told, is_far=False)
-    assert not book.holds(MARK)
+    assert not book.held_for_s(MARK)
     # Another gateway hears that it was cleared.
     other = quarantine.Quarantine(time)
     other.take(told, is_far=False)
-    assert other.holds(MARK)
-    other.take(book.news(OWN, is_all_held=False), is_far=False)
-    assert not other.holds(MARK)
+    assert other.held_for_s(MARK)
+    other.take(book.news(OWN, include_held=False), is_far=False)
+    assert not other.held_for_s(MARK)
     time.advance(quarantine.CLEARED_S)
     end_three(book)
-    assert book.holds(MARK)
+    assert book.held_for_s(MARK)
 
 
 def test_what_was_held_for_its_time_is_tried_once_more(
@@ -92,29 +92,29 @@
     end_three(book)
     time.advance(quarantine.HELD_S - 1.0)
     book.forget_old()
-    assert 0.0 < book.holds(MARK) <= 1.0
+    assert 0.0 < book.held_for_s(MARK) <= 1.0
     # Another gateway that hears of it now holds it no longer than we do.
     other = quarantine.Quarantine(time)
-    other.take(book.news(OWN, is_all_held=True), is_far=True)
+    other.take(book.news(OWN, include_held=True), is_far=True)
     time.advance(1.1)
     for one in (book, other):
         one.forget_old()
-        assert not one.holds(MARK)
+        assert not one.held_for_s(MARK)
         one.note(MARK, "later", BEGUN)
-        assert one.holds(MARK) == pytest.approx(quarantine.HELD_S)
+        assert one.held_for_s(MARK) == pytest.approx(quarantine.HELD_S)
 
 
 def test_suspicion_is_forgotten_and_bounded(
     book: quarantine.Quarantine, time: clock.ManualClock
 ) -> None:
-    assert book.is_empty and book.news(OWN, is_all_held=True) == []
+    assert book.is_empty and book.news(OWN, include_held=True) == []
     end_three(book)
     for mark in range(1000, 1000 + quarantine.MAX_MARKS + 50):
         book.note(mark, "a", OPEN)
     # What is held outlives newer ones that are not.
-    assert book.holds(MARK) and not book.suspects(1000)
+    assert book.held_for_s(MARK) and not book.is_suspected(1000)
     assert len(book._marks) <= quarantine.MAX_MARKS
-    assert len(book.news(OWN, is_all_held=True)) == quarantine.MAX_TOLD
+    assert len(book.news(OWN, include_held=True)) == quarantine.MAX_TOLD
     time.advance(quarantine.SUSPECT_S + 1.0)
     book.forget_old()
     assert book.held_count == len(book._marks) == 1
@@ -154,7 +154,7 @@
             for other in books:
                 other.take(one.news(tuple(quarantine.Origin), True), is_far=False)
     is_held = sum(most.values()) >= quarantine.HELD_WEIGHT
-    assert [bool(one.holds(MARK)) for one in books] == [is_held] * 3
+    assert [bool(one.held_for_s(MARK)) for one in books] == [is_held] * 3
 
 
 # -- Bystanders --
@@ -209,7 +209,7 @@
     @property
     def held_bystanders(self) -> int:
         """Innocent requests that are held."""
-        return sum(bool(self.book.holds(m)) for m in range(100, self.marks + 1))
+        return sum(bool(self.book.held_for_s(m)) for m in range(100, self.marks + 1))
 
     def _later(self, after_s: float, what: str) -> None:
         heapq.heappush(self.events, (self.time.now() + after_s, self.marks, what))
@@ -227,7 +227,7 @@
     def _on_poison(self) -> None:
         """The poison request comes, and runs at up to three endpoints."""
         for _ in range(3):
-            if self.book.holds(MARK):
+            if self.book.held_for_s(MARK):
                 break
             self.time.advance(self.rng.uniform(0.1, 0.5))
             where = self._pick()
@@ -258,7 +258,7 @@
             if ends_at <= now:
                 continue
             begun_s = now - begins_at if begins_at <= now else -1.0
-            weight = quarantine.weight_of(begun_s, may_wait=True)
+            weight = quarantine.suspicion_weight(begun_s, may_wait=True)
             if weight:
                 self.book.note(mark, life, weight)
             if tries < 3 and mark != MARK:
@@ -282,7 +282,7 @@
 ) -> None:
     play = Play(seed, True, end_every_s).run()
     assert 3 <= play.ended_by_poison <= most
-    assert play.book.holds(MARK)
+    assert play.book.held_for_s(MARK)
     assert play.held_bystanders == 0
 
 
@@ -329,7 +329,7 @@
     @property
     def holds_bystanders(self) -> bool:
         """Whether an innocent request is held."""
-        return any(self.book.holds(mark) for mark in range(101, self.marks + 1))
+        return any(self.book.held_for_s(mark) for mark in range(101, self.marks + 1))
 
     def _later(self, after_s: float, act: typing.Callable[[], None]) -> None:
         self._count += 1
@@ -341,13 +341,13 @@
         self._later(self.rng.expovariate(self.per_s), self._arrive)
 
     def _poison(self) -> None:
-        if not self.book.holds(MARK):
+        if not self.book.held_for_s(MARK):
             self._send(MARK, 1, self.time.now())
         self._later(self.rng.uniform(1.0, 3.0), self._poison)
 
     def _send(self, mark: int, tries: int, since: float) -> None:
         now = self.time.now()
-        if self.book.holds(mark):
+        if self.book.held_for_s(mark):
             return
         usable = [n for n, back_at in enumerate(self.back_at) if back_at <= now]
         ends = self.book.ends(mark)
@@ -379,7 +379,9 @@
         self.back_at[where] = now + self.BACK_S
         cut, self.open[where] = self.open[where], {}
         for mark, tries in cut.items():
-            self.book.note(mark, life, quarantine.weight_of(-1.0, may_wait=False))
+            self.book.note(
+                mark, life, quarantine.suspicion_weight(-1.0, may_wait=False)
+            )
             if tries < 3:
                 self._send(mark, tries + 1, now)
 
@@ -389,7 +391,7 @@
     """One endpoint of three stays: 49 and 106 refused for want of one without that."""
     plays = [PlainPlay(seed, per_s, spares=True).run() for seed in range(100)]
     assert not any(play.holds_bystanders for play in plays)
-    assert all(play.book.holds(MARK) for play in plays)
+    assert all(play.book.held_for_s(MARK) for play in plays)
     assert sum(play.refused for play in plays) / len(plays) < 1.0
 
 
@@ -404,7 +406,7 @@
 
 def know_all(fleet: fleetcase.Fleet) -> bool:
     """Whether every living gateway holds the request."""
-    return all(member.quarantine.holds(MARK) for member in fleet.living())
+    return all(member.quarantine.held_for_s(MARK) for member in fleet.living())
 
 
 @pytest.mark.parametrize("halls, each", [(1, 3), (3, 1), (3, 3), (5, 14)])
@@ -451,7 +453,7 @@
     fleet.run(30.0)
     late.is_dead = False
     late.look_at = fleet.time.now()
-    assert not late.quarantine.holds(MARK)
+    assert not late.quarantine.held_for_s(MARK)
     assert fleet.run(3.0, lambda: know_all(fleet)) < 2.5
 
 
@@ -468,7 +470,7 @@
         cut.is_frozen = True
         cut.kept.clear()
         fleet.run(0.2)
-    assert not cut.quarantine.holds(MARK)
+    assert not cut.quarantine.held_for_s(MARK)
     cut.is_frozen = False
     assert fleet.run(3.0, lambda: know_all(fleet)) < 2.5
 
@@ -489,7 +491,7 @@
     assert isinstance(mesh_messages.decode(worst), mesh_messages.Beat)
 
 
-def beat_with(told: list[quarantine.SuspectNews]) -> bytes:
+def beat_with(told: list[quarantine.SuspectUpdate]) -> bytes:
     beat = mesh_messages.Beat(
         "n", "h", "a", "i", [], True, {}, [], [], [], [], False, [], told
     )
--- a/gaprock/test/testreborn.py
+++ b/gaprock/test/testreborn.py
@@ -16,7 +16,7 @@
 from gaprock.test.fakes import backend
 
 BORN: typing.Final = 1_790_000_000_000
-MARKS: typing.Final = [prefix_cache.Mark(7, 500)]
+MARKS: typing.Final = [prefix_cache.PrefixHash(7, 500)]
 PROMPT: typing.Final = endpoint_state.Prompt(500.0, MARKS, 500)
 
 
@@ -49,9 +49,9 @@
     book.begin(old, PROMPT)
     for _ in range(8):
         book.answered(old, failed=True)
-    book.unreachable(old, "no connection")
-    book.take_loads("other", {old.life: endpoint_state.Load(3, 900.0)})
-    book.take_dark("other", [old.life])
+    book.eject(old, "no connection")
+    book.apply_peer_loads("other", {old.incarnation: endpoint_state.Load(3, 900.0)})
+    book.apply_peer_unreachable("other", [old.incarnation])
     return old
 
 
@@ -62,7 +62,7 @@
     found = {slot: getattr(endpoint, slot) for slot in slots}
     return found | {
         "unread": endpoint.backlog.told,
-        "kept": endpoint.cache.kept(MARKS),
+        "kept": endpoint.cache.cached(MARKS),
     }
 
 
@@ -91,23 +91,28 @@
     old = only(book)
     book.update("e", row(BORN + 5))
     before = state_of(only(book))
-    book.take_loads("other", {old.life: endpoint_state.Load(3, 900.0)})
-    book.take_prompts([(old.life, MARKS)])
-    book.take_dark("other", [old.life])
+    book.apply_peer_loads("other", {old.incarnation: endpoint_state.Load(3, 900.0)})
+    book.apply_peer_prompts([(old.incarnation, MARKS)])
+    book.apply_peer_unreachable("other", [old.incarnation])
     assert state_of(only(book)) == before
     # What they tell of the new one counts.
-    book.take_prompts([(only(book).life, MARKS)])
-    assert only(book).cache.kept(MARKS) == 500
+    book.apply_peer_prompts([(only(book).incarnation, MARKS)])
+    assert only(book).cache.cached(MARKS) == 500
 
 
 def test_what_is_told_names_the_life(book: directory.Directory) -> None:
     one = only(book)
     book.begin(one, PROMPT)
     book.read(one, PROMPT)
-    book.unreachable(one, "no connection")
-    assert list(book.own_loads()) == book.dark() == book.found_dark([]) == [one.life]
-    assert book.prompts_since(0) == (1, [(one.life, MARKS)])
-    assert one.life != only_after(book, BORN + 5).life
+    book.eject(one, "no connection")
+    assert (
+        list(book.own_loads())
+        == book.unreachable_endpoints()
+        == book.found_unreachable([])
+        == [one.incarnation]
+    )
+    assert book.prompts_since(0) == (1, [(one.incarnation, MARKS)])
+    assert one.incarnation != only_after(book, BORN + 5).incarnation
 
 
 def only_after(book: directory.Directory, born: int) -> endpoint_state.Endpoint:
@@ -125,13 +130,13 @@
     book = directory.Directory(clock.ManualClock(100.0), 2.0)
     book.update("e", row(0))
     one = only(book)
-    assert one.life == "e"
+    assert one.incarnation == "e"
     book.update("e", row(0, slots=4))
     assert only(book) is one
 
 
 def test_a_call_may_ask_the_new_life_again(book: directory.Directory) -> None:
-    excluded = {only(book).life}
+    excluded = {only(book).incarnation}
     assert book.usable("llm", excluded) == []
     book.update("e", row(BORN + 5))
     assert len(book.usable("llm", excluded)) == 1
--- a/gaprock/test/testrestoredendpoints.py
+++ b/gaprock/test/testrestoredendpoints.py
@@ -31,7 +31,7 @@
 
     def __init__(self, time: clock.ManualClock) -> None:
         self.time = time
-        self.epochs = store_epochs.EpochBook(time)
+        self.epochs = store_epochs.EpochTracker(time)
         self.directory = directory.Directory(time, DRAIN_S)
         self.rows = gateway_rows.EndpointRows(
             time, wire.PlatformDialect(), self.directory, self.epochs
@@ -39,7 +39,7 @@
 
     def read(self, epoch: int, **states: str) -> None:
         """Read the table whole, by the endpoints' names."""
-        self.epochs.note(epoch, "store")
+        self.epochs.record(epoch, "store")
         self._take(epoch, states, whole=True)
 
     def hear(self, epoch: int, **states: str) -> None:
@@ -51,7 +51,7 @@
             gateway_api.Row(name, ROW % state.encode() if state else None, 1)
             for name, state in states.items()
         ]
-        self.rows.take_page(gateway_api.Page(rows, 1, 0.0, epoch), whole)
+        self.rows.apply_page(gateway_api.Page(rows, 1, 0.0, epoch), whole)
 
     def leave(self, name: str, how: str) -> None:
         """Have an endpoint leave, and nothing more be sent to it."""
@@ -88,7 +88,7 @@
     # Once more, while the first copy is still doubted.
     reader.pass_time(1.0)
     reader.read(3, a="ready", b="ready")
-    reader.pass_time(store_epochs.REWRITTEN_S - 1.0)
+    reader.pass_time(store_epochs.RESTORE_GRACE_S - 1.0)
     assert reader.usable == {"a"}
 
 
@@ -108,7 +108,7 @@
 ) -> None:
     reader.leave("b", left)
     reader.read(2, a="ready", b="ready")
-    reader.pass_time(store_epochs.REWRITTEN_S + 0.1)
+    reader.pass_time(store_epochs.RESTORE_GRACE_S + 0.1)
     assert reader.usable == {"a", "b"}
 
 
@@ -136,7 +136,7 @@
 
 
 def test_a_row_missing_long_after_a_restore_is_a_departure(reader: Reader) -> None:
-    reader.epochs.note(2, "peer", age_s=5.0)
+    reader.epochs.record(2, "peer", age_s=5.0)
     reader.read(2, a="ready")
     reader.time.advance(0.6 * DRAIN_S)
     assert reader.usable == {"a"}
@@ -160,9 +160,9 @@
     reader.read(2, a="ready", b="ready")
     late = Reader(reader.time)
     late.read(2, a="ready", b="ready")
-    late.directory.take_departures("peer", reader.directory.departure_news())
+    late.directory.apply_peer_departures("peer", reader.directory.departure_news())
     assert late.usable == {"a"}
-    late.pass_time(store_epochs.REWRITTEN_S + 0.1)
+    late.pass_time(store_epochs.RESTORE_GRACE_S + 0.1)
     assert late.usable == {"a", "b"}
 
 
@@ -176,7 +176,7 @@
     )
     reader.leave("b", "draining")
     reader.read(2, a="ready", b="ready")
-    reader.pass_time(store_epochs.REWRITTEN_S + 0.1)
+    reader.pass_time(store_epochs.RESTORE_GRACE_S + 0.1)
     assert reader.usable == {"a"}
 
 
@@ -185,5 +185,5 @@
     book = departures.Departures(time)
     book.note_lost_row("b@1", 97.0)
     (news,) = book.news()
-    assert news.is_leaving and news.lost_row_s == store_epochs.REWRITTEN_S
-    assert endpoint_state.life_name("b", 1) == news.endpoint
+    assert news.is_leaving and news.lost_row_s == store_epochs.RESTORE_GRACE_S
+    assert endpoint_state.incarnation_id("b", 1) == news.endpoint
--- a/gaprock/test/testrestoredrollouts.py
+++ b/gaprock/test/testrestoredrollouts.py
@@ -48,14 +48,14 @@
     def order(self, epoch: int, number: int, version: str, whole: bool = False) -> None:
         """Read an order."""
         row = gateway_api.Row(ORDER_KEY, order_value(version), number)
-        self.orders.take_page(gateway_api.Page([row], number, 0.0, epoch), whole)
+        self.orders.apply_page(gateway_api.Page([row], number, 0.0, epoch), whole)
 
     def outcome(self, epoch: int, number: int, state: str, version: str = "v2") -> None:
         """Read the table of outcomes whole; an empty state is no row."""
         key = wire.PlatformDialect().outcome_key(SERVICE)
         value = wire.PlatformDialect().outcome_value(version, state)
         rows = [gateway_api.Row(key, value, number)] if state else []
-        self.outcomes.take_page(gateway_api.Page(rows, number, 0.0, epoch), whole=True)
+        self.outcomes.apply_page(gateway_api.Page(rows, number, 0.0, epoch), whole=True)
 
     @property
     def rollout(self) -> rollout_state.Rollout:
@@ -101,7 +101,7 @@
         news = mesh_messages.RolloutNews(
             SERVICE, roll.revision, 1.0, True, 0, epoch=roll.epoch
         )
-        here.book.take_told(news, one.time.now(), "there")
+        here.book.merge_reported(news, one.time.now(), "there")
     other.order(2, 17, "v2", whole=True)
     assert one.rollout.halted and other.rollout.halted
 
@@ -176,9 +176,9 @@
 
 def test_nothing_is_written_by_a_version_of_an_earlier_epoch(one: Gateway) -> None:
     epochs = one.writer._epochs
-    epochs.note(1, "store")
+    epochs.record(1, "store")
     one.book.halt(SERVICE, 20, "bad", 1)
-    epochs.note(2, "peer")
+    epochs.record(2, "peer")
     assert one.write() == []
     one.order(2, 20, "v2", whole=True)
     one.outcome(2, 22, "running")
@@ -199,27 +199,27 @@
 def test_a_hall_stays_emptied_while_a_restored_store_lacks_its_order(
     one: Gateway,
 ) -> None:
-    one.orders.take_page(page(1, hall("h1", 7)), whole=False)
-    one.orders.take_page(page(2), whole=True)
-    one.time.advance(store_epochs.REWRITTEN_S - 0.1)
-    one.orders.believe_rows()
+    one.orders.apply_page(page(1, hall("h1", 7)), whole=False)
+    one.orders.apply_page(page(2), whole=True)
+    one.time.advance(store_epochs.RESTORE_GRACE_S - 0.1)
+    one.orders.end_restore_grace()
     assert one.halls == {"h1"}
     # Read whole once more in the same epoch.
-    one.orders.take_page(page(2), whole=True)
+    one.orders.apply_page(page(2), whole=True)
     assert one.halls == {"h1"}
     one.time.advance(0.2)
-    one.orders.believe_rows()
+    one.orders.end_restore_grace()
     assert one.halls == frozenset()
 
 
 def test_a_hall_whose_order_is_written_again_stays_emptied(one: Gateway) -> None:
-    one.orders.take_page(page(1, hall("h1", 7)), whole=False)
-    one.orders.take_page(page(2), whole=True)
-    one.orders.take_page(page(2, hall("h1", 5)), whole=False)
-    one.time.advance(2 * store_epochs.REWRITTEN_S)
-    one.orders.believe_rows()
+    one.orders.apply_page(page(1, hall("h1", 7)), whole=False)
+    one.orders.apply_page(page(2), whole=True)
+    one.orders.apply_page(page(2, hall("h1", 5)), whole=False)
+    one.time.advance(2 * store_epochs.RESTORE_GRACE_S)
+    one.orders.end_restore_grace()
     assert one.halls == {"h1"}
-    one.orders.take_page(page(2, hall("h1", 6, False)), whole=False)
+    one.orders.apply_page(page(2, hall("h1", 6, False)), whole=False)
     assert one.halls == frozenset()
 
 
@@ -266,10 +266,10 @@
         """Read the order and the outcome whole, as the store has them."""
         member, store = self.members[which], self.store
         order = gateway_api.RolloutOrder(SERVICE, "v2", testtakeover.FINISH_S)
-        member.rollouts.take_order(order, 1, self.started_at, store.epoch)
+        member.rollouts.add_order(order, 1, self.started_at, store.epoch)
         rows = [store.row] if store.row is not None else []
         found = gateway_api.Page(rows, store.version, 0.0, store.epoch)
-        member.rows.take_page(found, whole=True)
+        member.rows.apply_page(found, whole=True)
 
     def _all_step(self) -> None:
         self.clock.advance(testtakeover.STEP_S)
--- a/gaprock/test/testreturns.py
+++ b/gaprock/test/testreturns.py
@@ -8,23 +8,23 @@
 import pytest
 from hypothesis import strategies as st
 
-from gaprock import return_times
+from gaprock import retry_schedule
 
 CALLER_S: typing.Final = 20.0
 
 
 def test_refused_callers_come_back_one_by_one_at_the_pace_of_ends() -> None:
-    line = return_times.ReturnTimes()
+    line = retry_schedule.RetrySchedule()
     for number in range(20):
         line.note_end(100.0 + 0.2 * number)
     waits = [line.next_s(104.0, CALLER_S) for _ in range(10)]
-    assert waits[0] == pytest.approx(return_times.SHORTEST_S)
+    assert waits[0] == pytest.approx(retry_schedule.SHORTEST_S)
     steps = {round(b - a, 6) for a, b in zip(waits, waits[1:])}
-    assert steps == {return_times.RATE_WINDOW_S / 20}
+    assert steps == {retry_schedule.RATE_WINDOW_S / 20}
     # One that is refused later stands behind them, and an old line is forgotten.
-    pace_s = return_times.RATE_WINDOW_S / 17
+    pace_s = retry_schedule.RATE_WINDOW_S / 17
     assert line.next_s(104.5, CALLER_S) == pytest.approx(waits[-1] - 0.5 + pace_s)
-    assert line.next_s(150.0, CALLER_S) == pytest.approx(return_times.SHORTEST_S)
+    assert line.next_s(150.0, CALLER_S) == pytest.approx(retry_schedule.SHORTEST_S)
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
@@ -34,16 +34,16 @@
 def test_nobody_is_told_to_stay_away_for_longer_than_callers_heed(
     steps: list[tuple[float, bool, float]],
 ) -> None:
-    line, now = return_times.ReturnTimes(), 10.0
+    line, now = retry_schedule.RetrySchedule(), 10.0
     for passed_s, ends, caller_s in steps:
         now += passed_s
         if ends:
             line.note_end(now)
             continue
         wait_s = line.next_s(now, caller_s)
-        longest_s = return_times.CALLER_SHARE * caller_s
-        assert wait_s >= return_times.SHORTEST_S - 1e-9
-        assert wait_s <= max(return_times.SHORTEST_S, longest_s) + 1e-9
+        longest_s = retry_schedule.CALLER_SHARE * caller_s
+        assert wait_s >= retry_schedule.SHORTEST_S - 1e-9
+        assert wait_s <= max(retry_schedule.SHORTEST_S, longest_s) + 1e-9
 
 
 def play(wait_s: typing.Callable[[float], float], ended: typing.Any) -> float:
@@ -78,7 +78,7 @@
 
 def test_more_callers_are_served_than_with_times_drawn_from_a_span() -> None:
     """The share that is served: 0.23 before, 0.64 now."""
-    line = return_times.ReturnTimes()
+    line = retry_schedule.RetrySchedule()
     for number in range(20):
         line.note_end(-4.0 + 0.2 * number)
     rng = random.Random(3)
--- a/gaprock/test/testrollouts.py
+++ b/gaprock/test/testrollouts.py
@@ -10,7 +10,7 @@
     gateway_api,
     mesh_messages,
     mesh_peers,
-    rollout_pace,
+    rollout_latency,
     rollout_state,
     rollouts,
 )
@@ -32,7 +32,7 @@
 ) -> None:
     book = rolloutcase.make_rollouts(time)
     assert book.fits("llm", "v1", "s") and book.fits("llm", "v2", "s")
-    book.take_order(rolloutcase.order(), 7, time.now())
+    book.add_order(rolloutcase.order(), 7, time.now())
     first = on_new(book)
     assert 0 < len(first) < 0.15 * 2000
     time.advance(9.9)
@@ -49,9 +49,9 @@
     time: clock.ManualClock,
 ) -> None:
     one, two = rolloutcase.make_rollouts(time), rolloutcase.make_rollouts(time)
-    one.take_order(rolloutcase.order(), 7, time.now())
+    one.add_order(rolloutcase.order(), 7, time.now())
     time.advance(3.0)
-    two.take_order(rolloutcase.order(), 7, time.now())
+    two.add_order(rolloutcase.order(), 7, time.now())
     two.backdate("llm", 7, time.now() - 3.0, "other")
     assert on_new(one) == on_new(two)
 
@@ -60,20 +60,20 @@
     time: clock.ManualClock,
 ) -> None:
     one, two = rolloutcase.make_rollouts(time), rolloutcase.make_rollouts(time)
-    one.take_order(rolloutcase.order(), 7, time.now())
+    one.add_order(rolloutcase.order(), 7, time.now())
     time.advance(11.5)
     # A gateway that was added and has no store hears of the order before it has it.
     two.backdate("llm", 7, time.now() - 11.5, "other")
     two.backdate("llm", 6, time.now() - 99.0, "other")
-    two.take_order(rolloutcase.order(), 7, time.now())
+    two.add_order(rolloutcase.order(), 7, time.now())
     # No session that has moved is sent back.
     assert on_new(one) == on_new(two)
     one.halt("llm", 7, "test")
     three = rolloutcase.make_rollouts(time)
     three.halt("llm", 7, "told")
-    three.take_order(rolloutcase.order(), 7, time.now())
+    three.add_order(rolloutcase.order(), 7, time.now())
     assert on_new(three) == set()
-    three.take_order(rolloutcase.order(), 8, time.now())
+    three.add_order(rolloutcase.order(), 8, time.now())
     assert on_new(three)
 
 
@@ -81,22 +81,31 @@
     time: clock.ManualClock,
 ) -> None:
     book = rolloutcase.make_rollouts(time)
-    book.take_order(rolloutcase.order(), 7, time.now())
+    book.add_order(rolloutcase.order(), 7, time.now())
     session = sorted(on_new(book))[0]
     names = [f"e{number}" for number in range(20)]
-    assert len(book.narrow(book.side("llm", session), names, names[:2])) == 2
+    assert (
+        len(book.allowed_endpoints(book.assignment("llm", session), names, names[:2]))
+        == 2
+    )
     # With enough of them in the own hall, its own share of those.
     assert (
-        list(book.narrow(book.side("llm", session), names, names[13:])) == names[13:14]
+        list(book.allowed_endpoints(book.assignment("llm", session), names, names[13:]))
+        == names[13:14]
     )
     old = next(f"s{n}" for n in range(99) if not book.fits("llm", "v2", f"s{n}"))
-    assert list(book.narrow(book.side("llm", old), names, names)) == names
+    assert (
+        list(book.allowed_endpoints(book.assignment("llm", old), names, names)) == names
+    )
     time.advance(19.0)
-    assert list(book.narrow(book.side("llm", session), names, names)) == names
+    assert (
+        list(book.allowed_endpoints(book.assignment("llm", session), names, names))
+        == names
+    )
 
 
-def judged(failed: bool, took_s: float = 0.1) -> rollout_pace.Judged:
-    return rollout_pace.Judged(failed, took_s)
+def judged(failed: bool, took_s: float = 0.1) -> rollout_latency.VersionSample:
+    return rollout_latency.VersionSample(failed, took_s)
 
 
 def answers(book: rollouts.Rollouts, version: str, bad: int, good: int) -> None:
@@ -108,7 +117,7 @@
     time: clock.ManualClock,
 ) -> None:
     book = rolloutcase.make_rollouts(time)
-    rollout = book.take_order(rolloutcase.order(), 7, time.now())
+    rollout = book.add_order(rolloutcase.order(), 7, time.now())
     answers(book, "v1", 2, 100)
     answers(book, "v2", 2, 100)
     assert not rollout.halted
@@ -119,7 +128,7 @@
 
 def test_a_version_that_is_slow_is_stopped(time: clock.ManualClock) -> None:
     book = rolloutcase.make_rollouts(time)
-    rollout = book.take_order(rolloutcase.order(), 7, time.now())
+    rollout = book.add_order(rolloutcase.order(), 7, time.now())
     for _ in range(50):
         book.judge_answer("llm", "v1", "r1", "m", judged(False, 0.2))
     for _ in range(12):
@@ -129,14 +138,20 @@
 
 def test_a_long_queue_is_no_fault_of_the_version(time: clock.ManualClock) -> None:
     book = rolloutcase.make_rollouts(time)
-    rollout = book.take_order(rolloutcase.order(), 7, time.now())
+    rollout = book.add_order(rolloutcase.order(), 7, time.now())
     for _ in range(50):
-        book.judge_answer("llm", "v1", "r1", "m", rollout_pace.Judged(False, 0.2, 0.2))
+        book.judge_answer(
+            "llm", "v1", "r1", "m", rollout_latency.VersionSample(False, 0.2, 0.2)
+        )
     for _ in range(30):
-        book.judge_answer("llm", "v2", "r1", "m", rollout_pace.Judged(False, 1.6, 1.2))
+        book.judge_answer(
+            "llm", "v2", "r1", "m", rollout_latency.VersionSample(False, 1.6, 1.2)
+        )
     assert not rollout.halted
     for _ in range(20):
-        book.judge_answer("llm", "v2", "r1", "m", rollout_pace.Judged(False, 1.6, 0.2))
+        book.judge_answer(
+            "llm", "v2", "r1", "m", rollout_latency.VersionSample(False, 1.6, 0.2)
+        )
     assert rollout.halted
 
 
@@ -144,7 +159,7 @@
     time: clock.ManualClock,
 ) -> None:
     book = rolloutcase.make_rollouts(time)
-    rollout = book.take_order(rolloutcase.order(), 7, time.now())
+    rollout = book.add_order(rolloutcase.order(), 7, time.now())
     for _ in range(200):
         book.judge_answer("llm", "v1", "r1", "m", judged(False))
         book.judge_answer("llm", "v1", "r2", "m", judged(False))
@@ -160,12 +175,12 @@
     time: clock.ManualClock,
 ) -> None:
     book = rolloutcase.make_rollouts(time)
-    book.take_outcome(
+    book.apply_outcome(
         "llm", rollout_state.Outcome("v2", rollout_state.State.ROLLED_BACK, 5)
     )
-    rollout = book.take_order(rolloutcase.order(), 7, time.now())
+    rollout = book.add_order(rolloutcase.order(), 7, time.now())
     assert rollout.state is rollout_state.State.RUNNING
-    book.take_outcome(
+    book.apply_outcome(
         "llm", rollout_state.Outcome("v2", rollout_state.State.ROLLED_BACK, 8)
     )
     assert on_new(book) == set()
@@ -176,7 +191,7 @@
 ) -> None:
     case = rolloutcase.WriterCase(time)
     case.store.answers = [8, 9]
-    case.book.take_order(rolloutcase.order(), 7, time.now())
+    case.book.add_order(rolloutcase.order(), 7, time.now())
     case.writer.step()
     assert case.written() == ["running"]
     time.advance(13.0)
@@ -196,7 +211,7 @@
 ) -> None:
     case = rolloutcase.WriterCase(time)
     case.store.answers = [8, 9]
-    case.book.take_order(rolloutcase.order(), 7, time.now())
+    case.book.add_order(rolloutcase.order(), 7, time.now())
     case.writer.step()
     case.on_old = 1
     for _ in range(40):
@@ -211,7 +226,7 @@
     case = rolloutcase.WriterCase(time)
     lost = gateway_api.StoreError("lost")
     case.store.answers = [8, lost, 0, 12]
-    case.book.take_order(rolloutcase.order(), 7, time.now())
+    case.book.add_order(rolloutcase.order(), 7, time.now())
     case.writer.step()
     case.book.halt("llm", 7, "test")
     for _ in range(10):
@@ -223,7 +238,7 @@
 def test_a_peers_word_halts_a_version(time: clock.ManualClock) -> None:
     case = rolloutcase.WriterCase(time)
     case.store.answers = [8]
-    rollout = case.book.take_order(rolloutcase.order(), 7, time.now())
+    rollout = case.book.add_order(rolloutcase.order(), 7, time.now())
     news = mesh_messages.RolloutNews("llm", 7, 4.0, True, 0)
     beat = mesh_messages.Beat(
         "other", "h2", "tcp://x", "i", [], True, {}, [], [], [news], [], False
--- a/gaprock/test/testrouting.py
+++ b/gaprock/test/testrouting.py
@@ -18,7 +18,7 @@
     policy_api,
     policy_models,
     policy_routing,
-    reading_pace,
+    prefill_pace,
     retry_window,
     routes,
 )
@@ -88,7 +88,7 @@
     for pause_s, number, is_first in steps:
         now += pause_s
         if is_first:
-            fleet[number].note_first("s", now)
+            fleet[number].record_first("s", now)
             firsts.append(now)
         elif fleet[number].take("s", now):
             repeats.append(now)
@@ -109,7 +109,7 @@
     budget = retry_window.RetryWindow(0.5, 9.0, 5.0, lambda: 0)
     assert not budget.take("s", 1.0)
     for _ in range(10):
-        budget.note_first("s", 1.0)
+        budget.record_first("s", 1.0)
     assert budget.take("s", 1.0)
 
 
@@ -168,18 +168,18 @@
     book = directory.Directory(time, drain_s=2.0)
     book.replace({"a": row()})
     endpoint = book.usable("app", set())[0]
-    book.unreachable(endpoint, "refused")
-    assert book.is_set_aside(endpoint, time.now())
+    book.eject(endpoint, "refused")
+    assert book.is_ejected(endpoint, time.now())
     time.advance(1.0)
-    assert not book.is_set_aside(endpoint, time.now())
+    assert not book.is_ejected(endpoint, time.now())
     book.begin(endpoint, endpoint_state.Prompt(0.0, []))
-    assert book.is_set_aside(endpoint, time.now())
+    assert book.is_ejected(endpoint, time.now())
     # The trial ended without a word on the endpoint: the next one may try.
     book.end(endpoint)
-    assert not book.is_set_aside(endpoint, time.now())
+    assert not book.is_ejected(endpoint, time.now())
     book.begin(endpoint, endpoint_state.Prompt(0.0, []))
     book.answered(endpoint, failed=False)
-    assert not endpoint.paused_until
+    assert not endpoint.ejected_until
 
 
 def test_an_endpoint_that_fails_more_than_its_service_is_set_aside(
@@ -191,8 +191,8 @@
     for step in range(30):
         book.answered(grey, failed=step % 2 == 0)
         book.answered(sound, failed=False)
-    assert book.is_set_aside(grey, time.now())
-    assert not book.is_set_aside(sound, time.now())
+    assert book.is_ejected(grey, time.now())
+    assert not book.is_ejected(sound, time.now())
 
 
 def test_an_endpoint_that_others_find_dark_is_doubted_until_it_speaks(
@@ -202,18 +202,18 @@
     book.replace({f"e{n}": row() for n in range(6)})
     first, second, *_ = book.usable("app", set())
     time.advance(1.0)
-    book.take_dark("other", [first.name, second.name])
-    assert first.is_doubted and second.is_doubted
+    book.apply_peer_unreachable("other", [first.name, second.name])
+    assert first.is_suspected and second.is_suspected
     time.advance(0.1)
     book.heard(first)
-    book.take_dark("other", [first.name, second.name])
-    assert not first.is_doubted and second.is_doubted
-    book.take_dark("other", [])
-    assert not second.is_doubted
+    book.apply_peer_unreachable("other", [first.name, second.name])
+    assert not first.is_suspected and second.is_suspected
+    book.apply_peer_unreachable("other", [])
+    assert not second.is_suspected
     # One that finds most of them dark is cut off itself.
     time.advance(1.0)
-    book.take_dark("other", [f"e{n}" for n in range(4)])
-    assert not any(e.is_doubted for e in book.usable("app", set()))
+    book.apply_peer_unreachable("other", [f"e{n}" for n in range(4)])
+    assert not any(e.is_suspected for e in book.usable("app", set()))
 
 
 def test_unread_prompts_are_counted_in_and_out(time: clock.ManualClock) -> None:
@@ -221,12 +221,12 @@
     book.replace({"a": row()})
     endpoint = book.usable("app", set())[0]
     book.begin(endpoint, endpoint_state.Prompt(500.0, []))
-    book.take_loads("other", {"a": endpoint_state.Load(2, 300.0)})
+    book.apply_peer_loads("other", {"a": endpoint_state.Load(2, 300.0)})
     assert (endpoint.load, endpoint.backlog.told) == (3, 800.0)
     assert book.unread(endpoint) == 800.0
     book.read(endpoint, endpoint_state.Prompt(500.0, []))
     book.end(endpoint)
-    book.take_loads("other", {})
+    book.apply_peer_loads("other", {})
     assert (endpoint.load, endpoint.backlog.told) == (0, 0.0)
     assert book.unread(endpoint) == 0.0
 
@@ -265,24 +265,24 @@
 def test_doubt_climbs_while_the_larger_model_is_in_time() -> None:
     policy = policy_models.Confidence()
     assert policy.first(ask(0.1)) == "small"
-    assert policy.climb(ask(0.1), "small", 45) == "large"
-    assert policy.climb(ask(0.1), "small", 55) is None
-    assert policy.climb(ask(0.1), "large", 5) is None
-    assert policy.climb(ask(0.1, climbs_left=0), "small", 5) is None
+    assert policy.escalate(ask(0.1), "small", 45) == "large"
+    assert policy.escalate(ask(0.1), "small", 55) is None
+    assert policy.escalate(ask(0.1), "large", 5) is None
+    assert policy.escalate(ask(0.1, climbs_left=0), "small", 5) is None
     # As the larger one nears the goal, what counts as doubt shrinks, then ends.
-    assert policy.climb(ask(0.45), "small", 45) is None
-    assert policy.climb(ask(0.45), "small", 20) == "large"
-    assert policy.climb(ask(0.8), "small", 5) is None
+    assert policy.escalate(ask(0.45), "small", 45) is None
+    assert policy.escalate(ask(0.45), "small", 20) == "large"
+    assert policy.escalate(ask(0.8), "small", 5) is None
 
 
 def test_the_smallest_model_that_is_likely_sure_is_asked() -> None:
     policy = policy_models.Confidence()
-    assert policy.climb(ask_three(), "small", 45) == "middle"
-    assert policy.climb(ask_three(), "small", 10) == "large"
-    assert policy.climb(ask_three(), "middle", 45) == "large"
+    assert policy.escalate(ask_three(), "small", 45) == "middle"
+    assert policy.escalate(ask_three(), "small", 10) == "large"
+    assert policy.escalate(ask_three(), "middle", 45) == "large"
     # The middle one is in time where the largest one is not.
-    assert policy.climb(ask_three(largest_s=0.9), "small", 40) == "middle"
-    assert policy.climb(ask_three(largest_s=0.9), "small", 10) is None
+    assert policy.escalate(ask_three(largest_s=0.9), "small", 40) == "middle"
+    assert policy.escalate(ask_three(largest_s=0.9), "small", 10) is None
 
 
 def test_how_much_surer_a_model_is_is_learned_from_climbs() -> None:
@@ -291,10 +291,10 @@
         policy.learn("small", 20.0, "middle", 55.0)
         # The ends of the scale tell nothing of the gain.
         policy.learn("small", 0.0, "middle", 0.0)
-    assert policy.climb(ask_three(), "small", 18) == "middle"
+    assert policy.escalate(ask_three(), "small", 18) == "middle"
     for _ in range(1000):
         policy.learn("small", 20.0, "middle", 22.0)
-    assert policy.climb(ask_three(), "small", 40) == "large"
+    assert policy.escalate(ask_three(), "small", 40) == "large"
 
 
 def test_a_backlog_falls_with_time_but_not_to_nothing() -> None:
@@ -318,12 +318,12 @@
 
 
 def test_what_a_models_token_weighs_is_learned_from_prompts_without_a_wait() -> None:
-    pace = reading_pace.ReadingPace()
+    pace = prefill_pace.PrefillPace()
     assert pace.weight(SERVICE, "small") == pytest.approx(0.05)
     assert pace.weight(SERVICE, "") == 1.0
     for _ in range(100):
-        pace.observe_model(SERVICE, "small", 10_000, 0.0, 0.1 + reading_pace.OTHER_S)
-        pace.observe_model(SERVICE, "large", 10_000, 0.0, 0.5 + reading_pace.OTHER_S)
+        pace.observe_model(SERVICE, "small", 10_000, 0.0, 0.1 + prefill_pace.OTHER_S)
+        pace.observe_model(SERVICE, "large", 10_000, 0.0, 0.5 + prefill_pace.OTHER_S)
         # Behind others, or too short: it tells nothing of its own pace.
         pace.observe_model(SERVICE, "small", 10_000, 2.0, 9.0)
         pace.observe_model(SERVICE, "small", 10, 0.0, 9.0)
@@ -331,16 +331,16 @@
 
 
 def test_an_engines_reading_is_never_taken_as_endlessly_fast() -> None:
-    pace = reading_pace.ReadingPace()
+    pace = prefill_pace.PrefillPace()
     for _ in range(1000):
         pace.observe("s", 1000.0, 0.1)
         pace.observe("s", 9000.0, 0.1)
-    most = reading_pace.MOST_TIMES / reading_pace.FIRST_SLOPE_S
+    most = prefill_pace.MOST_TIMES / prefill_pace.FIRST_SLOPE_S
     assert pace.tokens_per_s("s") == pytest.approx(most)
 
 
 def test_the_time_of_a_token_is_learned() -> None:
-    pace = reading_pace.ReadingPace()
+    pace = prefill_pace.PrefillPace()
     for number in range(1000):
         tokens = 1000.0 * (number % 7)
         pace.observe("s", tokens, 0.2 + tokens * 1e-4)
@@ -366,9 +366,9 @@
     doc = gatewaysite.config(1)
     del doc["Tenants"]
     table = documents.route_table(msgspec.json.encode(doc))
-    assert not table.keyed
+    assert not table.requires_key
     doc["Tenants"] = []
-    assert documents.route_table(msgspec.json.encode(doc)).keyed
+    assert documents.route_table(msgspec.json.encode(doc)).requires_key
 
 
 @hypothesis.settings(derandomize=True, max_examples=200)
--- a/gaprock/test/testscale.py
+++ b/gaprock/test/testscale.py
@@ -38,8 +38,8 @@
     return book
 
 
-def around(key: int) -> directory_rows.Around:
-    return directory_rows.Around("h0", key, lambda e: True)
+def around(key: int) -> directory_rows.CandidateScope:
+    return directory_rows.CandidateScope("h0", key, lambda e: True)
 
 
 def usable(
@@ -56,7 +56,7 @@
     """A choice among 4,000 took 81 ms of processor time, among these 0.2 ms."""
     for count in (400, 4000):
         names = usable(make_directory(count), 12345)
-        assert len(names) == directory_rows.LOOKED_AT
+        assert len(names) == directory_rows.CANDIDATES_PER_HALL
     assert len(usable(make_directory(60), 12345)) == 60
 
 
@@ -67,15 +67,15 @@
     gateway = herd.Gateway("gw", steady, 1, "least-filled")
     gateway.chooser._hall = "h0"
     scale.fill(gateway.directory, 4000, HALLS)
-    unread_at = gateway.directory.unread_at
+    unread_tokens = gateway.directory.unread_tokens
 
     def note(endpoints: list[endpoint_state.Endpoint]) -> list[float]:
         asked.extend(endpoint.name for endpoint in endpoints)
-        return unread_at(endpoints)
+        return unread_tokens(endpoints)
 
-    gateway.directory.unread_at = note  # type: ignore[method-assign]
+    gateway.directory.unread_tokens = note  # type: ignore[method-assign]
     assert gateway.chooser.endpoint(herd.call(1, 100.0), "") is not None
-    assert len(set(asked)) <= directory_rows.LOOKED_AT
+    assert len(set(asked)) <= directory_rows.CANDIDATES_PER_HALL
 
 
 def test_gateways_look_at_the_same_endpoints_for_the_same_subject() -> None:
@@ -91,7 +91,7 @@
     rng = random.Random(1)
     for _ in range(3000):
         seen.update(usable(book, rng.randrange(1 << 32)))
-    mean = 3000 * directory_rows.LOOKED_AT / 200
+    mean = 3000 * directory_rows.CANDIDATES_PER_HALL / 200
     assert len(seen) == 200
     # Each is looked at from the 16 stretches before it.
     assert max(seen.values()) < 2.5 * mean
@@ -102,7 +102,9 @@
     book = make_directory(300)
     first = usable(book, 7)
     again = usable(book, 7, first)
-    assert len(again) == directory_rows.LOOKED_AT and not set(first) & set(again)
+    assert len(again) == directory_rows.CANDIDATES_PER_HALL and not set(first) & set(
+        again
+    )
     for name in first:
         for _ in range(70):
             endpoint = book._endpoints[name]
@@ -115,13 +117,13 @@
     book = make_directory(300)
     first = usable(book, 7)
     for name in first:
-        book.unreachable(book._endpoints[name], "dark")
+        book.eject(book._endpoints[name], "dark")
     assert not set(first) & set(usable(book, 7))
 
 
 def test_emptied_halls_leave_the_endpoints_of_the_others() -> None:
     book = make_directory(300)
-    book.set_emptied(frozenset({"h0"}))
+    book.set_cordoned(frozenset({"h0"}))
     found = usable(book, 7)
     assert found
     assert all(book._endpoints[name].row.hall != "h0" for name in found)
@@ -157,12 +159,12 @@
 def test_loads_that_are_told_no_more_are_taken_back() -> None:
     book = make_directory(90)
     names = list(book._endpoints)
-    book.take_loads("a", {names[0]: endpoint_state.Load(3, 0.0)})
-    book.take_loads("b", {names[0]: endpoint_state.Load(2, 0.0)})
-    book.take_loads("a", {names[1]: endpoint_state.Load(1, 0.0)})
+    book.apply_peer_loads("a", {names[0]: endpoint_state.Load(3, 0.0)})
+    book.apply_peer_loads("b", {names[0]: endpoint_state.Load(2, 0.0)})
+    book.apply_peer_loads("a", {names[1]: endpoint_state.Load(1, 0.0)})
     assert [book._endpoints[n].load for n in names[:2]] == [2, 1]
-    book.take_loads("a", {})
-    book.take_loads("b", {})
+    book.apply_peer_loads("a", {})
+    book.apply_peer_loads("b", {})
     assert not any(book._endpoints[n].load for n in names[:2])
 
 
@@ -181,16 +183,16 @@
 
     def __init__(self) -> None:
         time = clock.ManualClock(100.0)
-        self.scripted = rolloutcase.Scripted()
+        self.scripted = rolloutcase.ScriptedStore()
         self.reader, self.kept = self._follower(time, self.scripted)
-        self.rester, self.copied = self._follower(time, rolloutcase.Scripted())
+        self.rester, self.copied = self._follower(time, rolloutcase.ScriptedStore())
         self.tell = row_exchange.RowExchange([self.reader], time)
         self.hear = row_exchange.RowExchange([self.rester], time)
 
     def _follower(
         self, time: clock.ManualClock, store: gateway_api.SharedStore
-    ) -> tuple[followers.Follower, rowcase.Kept]:
-        kept = rowcase.Kept()
+    ) -> tuple[followers.Follower, rowcase.RecordingSink]:
+        kept = rowcase.RecordingSink()
         return followers.Follower("t", store, time, kept, rowcase.fresh(time)), kept
 
     def read(self, version: int, *rows: tuple[str, bytes | None, int]) -> None:
@@ -203,11 +205,11 @@
 
     def hand_on(self) -> mesh_messages.Rows:
         """Have the one who rests ask for what it lacks; give what it got."""
-        epoch, since = self.hear.copied_to(0)
+        epoch, since = self.hear.delta_base(0)
         rows = self.tell.copy(0, since, epoch)
         decoded = mesh_messages.decode(mesh_messages.encode(rows))
         assert isinstance(decoded, mesh_messages.Rows)
-        self.hear.take_copy(decoded)
+        self.hear.apply_copy(decoded)
         return decoded
 
     def agree(self) -> bool:
@@ -230,7 +232,7 @@
     pair.read(5, ("a", b"1", 5), ("b", b"1", 5))
     pair.hand_on()
     version = 10
-    for n in range(followers.REMOVED_KEPT + 5):
+    for n in range(followers.MAX_TOMBSTONES + 5):
         pair.read(version + 2 * n, (f"k{n}", b"1", version + 2 * n))
         pair.read(version + 2 * n + 1, (f"k{n}", None, version + 2 * n + 1))
     assert pair.hand_on().since == -1
@@ -278,7 +280,7 @@
     class Behind(fleetcase.Table):
         """Knows nothing yet, so that each copy would help."""
 
-        def take_news(
+        def record_news(
             self, table: int, news: object, is_far: bool, epoch_age_s: float
         ) -> bool:
             return True
@@ -309,7 +311,7 @@
 
 def test_all_of_a_large_hall_are_known(hall: fleetcase.Fleet) -> None:
     assert {m.mesh.members() for m in hall.members} == {100}
-    assert len(hall.carriers()) == 4
+    assert len(hall.hall_relays()) == 4
 
 
 def test_a_halt_reaches_all_of_a_large_hall_at_once(hall: fleetcase.Fleet) -> None:
--- a/gaprock/test/teststoreretry.py
+++ b/gaprock/test/teststoreretry.py
@@ -27,7 +27,7 @@
 class Sink:
     """Takes nothing."""
 
-    def take_page(self, page: gateway_api.Page, whole: bool) -> None:
+    def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         raise AssertionError("no page was read")
 
 
--- a/gaprock/test/testtakeover.py
+++ b/gaprock/test/testtakeover.py
@@ -94,10 +94,10 @@
             quarantine.Quarantine(self.time),
         )
         self.on_old = 0
-        self.mesh.on_old_here = lambda service: self.on_old
+        self.mesh.own_on_old_version = lambda service: self.on_old
         dialect = wire.PlatformDialect()
         store_clock = freshness.StoreClock()
-        store_clock.note(0.0, 0.0, 0.0)
+        store_clock.record(0.0, 0.0, 0.0)
         self.writer = rollout_writer.RolloutWriter(
             self.time,
             store_clock,
@@ -110,14 +110,14 @@
             self.time, dialect, self.rollouts, self.writer
         )
         order = gateway_api.RolloutOrder(SERVICE, "v2", FINISH_S)
-        self.rollout = self.rollouts.take_order(order, 1, world.started_at)
+        self.rollout = self.rollouts.add_order(order, 1, world.started_at)
         self.hear(world.store)
 
     def hear(self, store: ModelStore) -> None:
         """Take the row as it is now."""
         if store.row is not None:
             page = gateway_api.Page([store.row], store.row.version, 0.0)
-            self.rows.take_page(page, whole=False)
+            self.rows.apply_page(page, whole=False)
 
 
 MEMBERS: typing.Final = st.integers(0, 1)
--- a/gaprock/test/testunstopped.py
+++ b/gaprock/test/testunstopped.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gaprock import clock, rollout_pace, rollout_state, rollouts
+from gaprock import clock, rollout_latency, rollout_state, rollouts
 from gaprock.test import gatewaysite, rolloutcase
 from gaprock.test.fakes import backend
 
@@ -43,7 +43,7 @@
         backend.answer(*args)
 
     old.usual = answer_late
-    for _ in range(2 * rollout_pace.MIN_TIMES):
+    for _ in range(2 * rollout_latency.MIN_TIMES):
         assert site.call("/unsafe/x").status == 200
     fake = site.add("new", "app", Version="v2")
     document = {"Service": "app", "ToVersion": "v2", "FinishByS": 600}
@@ -75,7 +75,7 @@
     book: rollouts.Rollouts, version: str, took_s: typing.Iterable[float]
 ) -> None:
     for one in took_s:
-        answer = rollout_pace.Judged(False, one)
+        answer = rollout_latency.VersionSample(False, one)
         book.judge_answer("llm", version, "r1", "m", answer)
 
 
@@ -87,7 +87,7 @@
     """Whether a version is stopped where half of the old answers are slow."""
     time = clock.ManualClock(100.0)
     book = rolloutcase.make_rollouts(time)
-    rollout = book.take_order(rolloutcase.order(), 7, time.now())
+    rollout = book.add_order(rolloutcase.order(), 7, time.now())
     judge(book, "v1", HALF_SLOW)
     judge(book, "v2", took_s)
     return rollout.halted
@@ -103,7 +103,7 @@
 
 def answers(book: rollouts.Rollouts, version: str, bad: int, good: int) -> None:
     for number in range(bad + good):
-        answer = rollout_pace.Judged(number < bad, 0.1)
+        answer = rollout_latency.VersionSample(number < bad, 0.1)
         book.judge_answer("llm", version, "r1", "m", answer)
 
 
@@ -111,7 +111,7 @@
     """Bring a rollout to its end with some bad answers just before it."""
     case = rolloutcase.WriterCase(time)
     case.store.answers = [8, 9, 10]
-    case.book.take_order(rolloutcase.order(24.0), 7, time.now())
+    case.book.add_order(rolloutcase.order(24.0), 7, time.now())
     case.writer.step()
     answers(case.book, "v1", 0, 100)
     answers(case.book, "v2", 0, 100)
--- a/gaprock/test/testwarmup.py
+++ b/gaprock/test/testwarmup.py
@@ -160,17 +160,17 @@
     book = Book(clock.ManualClock(100.0))
     book.directory.update("e", row())
     if by == "us":
-        book.directory.unreachable(book.endpoint, "dark")
+        book.directory.eject(book.endpoint, "dark")
         book.time.advance(6.0)
         book.directory.answered(book.endpoint, failed=False)
     elif by == "others":
-        book.directory.take_dark("gw-2", {book.endpoint.life})
+        book.directory.apply_peer_unreachable("gw-2", {book.endpoint.incarnation})
         book.time.advance(6.0)
-        book.directory.take_dark("gw-2", ())
+        book.directory.apply_peer_unreachable("gw-2", ())
     else:
-        book.directory.set_emptied(frozenset({"h1"}))
+        book.directory.set_cordoned(frozenset({"h1"}))
         book.time.advance(6.0)
-        book.directory.set_emptied(frozenset())
+        book.directory.set_cordoned(frozenset())
     assert book.sends(RULE.lasts_s) <= 3
     book.time.advance(warm_up.ROW_LAG_S)
     assert book.sends(1.0) == 100
@@ -187,7 +187,7 @@
 
 
 def test_the_most_that_were_seen_are_remembered_and_forgotten() -> None:
-    most = mesh_members.MostSeen(600.0)
+    most = mesh_members.RecentPeak(600.0)
     most.note(21, 100.0)
     most.note(3, 800.0)
     assert most.value == 21
@@ -198,26 +198,28 @@
 def test_a_fleet_that_falls_apart_goes_by_what_it_was() -> None:
     fleet = fleetcase.Fleet(3, 7)
     fleet.run(4.0)
-    assert {m.mesh.most_gateways() for m in fleet.members} == {21}
+    assert {m.mesh.peak_gateways() for m in fleet.members} == {21}
     for member in fleet.members[1:]:
         member.is_dead = True
     fleet.run(5.0)
     assert fleet.members[0].mesh.members() == 1
-    assert fleet.members[0].mesh.most_gateways() == 21
+    assert fleet.members[0].mesh.peak_gateways() == 21
 
 
 def test_one_that_starts_without_the_store_takes_the_others_word() -> None:
     fleet = fleetcase.Fleet(1, 7)
     fleet.run(4.0)
     late = fleetcase.Member(fleet, "h0", 99)
-    assert late.mesh.most_gateways() == 0
+    assert late.mesh.peak_gateways() == 0
     fleet.join(late)
     # It has heard of one gateway; all others may be silent.
     for member in fleet.members[1:-1]:
         member.is_dead = True
-    late.mesh._found.append(mesh_members.Found(fleet.members[0].address, "h0"))
-    fleet.run(1.0, until=lambda: late.mesh.most_gateways() > 0)
-    assert late.mesh.most_gateways() == 7
+    late.mesh._new_addresses.append(
+        mesh_members.PeerAddress(fleet.members[0].address, "h0")
+    )
+    fleet.run(1.0, until=lambda: late.mesh.peak_gateways() > 0)
+    assert late.mesh.peak_gateways() == 7
 
 
 # -- The whole path --
--- a/gaprock/warm_up.py
+++ b/gaprock/warm_up.py
@@ -180,7 +180,7 @@
         rule = self._rule(endpoint)
         if rule is None:
             return 0.0
-        text = f"{self._gateway}>{endpoint.life}"
+        text = f"{self._gateway}>{endpoint.incarnation}"
         place = zlib.crc32(text.encode()) / HASH_RANGE
         return pause_s(rule, self._bounds(), self._gateways(), place)
 
--- a/misc/proofs_gateway_endpoints.py
+++ b/misc/proofs_gateway_endpoints.py
@@ -23,7 +23,7 @@
         "a gateway that finds most endpoints dark is not believed",
         "testrouting.py::test_an_endpoint_that_others_find_dark_is_doubted_until_it"
         "_speaks",
-        "directory_told.py",
+        "directory_peers.py",
         "if found[endpoint.row.service] > max(1, DARK_SHARE * size):",
         "if False:",
     ),
@@ -33,20 +33,20 @@
         "directory.py",
         "            endpoint.backlog.add(prompt.reading, now)\n",
         "            endpoint.backlog.add(prompt.reading, now)\n"
-        "            self._use(endpoint, prompt.marks)\n",
+        "            self._use(endpoint, prompt.hashes)\n",
     ),
     proofs.gateway(
         "engines read less when the choice knows what they keep",
         "testprompts.py::test_engines_read_less_when_the_choice_knows_what_they_keep",
         "prefix_cache.py",
-        "            kept += mark.tokens\n",
-        "            kept += 0\n",
+        "            cached += mark.tokens\n",
+        "            cached += 0\n",
     ),
     proofs.gateway(
         "refused callers come back one after another",
         "testreturns.py::test_more_callers_are_served_than_with_times_drawn_from_a"
         "_span",
-        "return_times.py",
+        "retry_schedule.py",
         "self._last_at + pace_s",
         "self._last_at",
     ),
@@ -119,7 +119,7 @@
         "testpaced.py::test_what_is_more_than_all_endpoints_take_is_refused_as_not"
         "_run",
         "gateway_find.py",
-        "if self._line.sent_at(call, place, turn) > latest_at:",
+        "if self._queue.sent_at(call, place, turn) > latest_at:",
         "if False:",
     ),
     proofs.gateway(
@@ -139,7 +139,7 @@
     proofs.gateway(
         "the most urgent that waits goes first",
         "testpaced.py::test_the_most_urgent_goes_first_and_then_who_came_first",
-        "paced_line.py",
+        "paced_queue.py",
         "place = Place(call.urgency, next(self._numbers))",
         "place = Place(0, next(self._numbers))",
     ),
--- a/misc/proofs_gateway_mesh.py
+++ b/misc/proofs_gateway_mesh.py
@@ -25,7 +25,7 @@
         "testhalls.py::test_a_gateways_budget_goes_by_the_most_gateways_that_were"
         "_known",
         "gateway_node.py",
-        "window_s,\n            lambda: self.mesh.most_gateways(),",
+        "window_s,\n            lambda: self.mesh.peak_gateways(),",
         "window_s,\n            lambda: self.mesh.members(),",
     ),
     proofs.gateway(
@@ -81,7 +81,7 @@
         "a summary of a hall is not used past its time",
         "testhalls.py::test_a_halls_load_is_known_in_other_halls_and_not_past_its_time",
         "mesh_halls.py",
-        "if k.as_of < now - SILENT_S]",
+        "if k.as_of < now - SUMMARY_TIMEOUT_S]",
         "if False]",
     ),
     proofs.gateway(
@@ -128,8 +128,8 @@
         "testquarantine.py::test_a_gateway_that_was_cut_off_hears_what_is_held_when"
         "_it_is_back",
         "mesh.py",
-        "is_all_held = now >= peer.held_told_at + quarantine.TELL_HELD_S",
-        "is_all_held = False",
+        "include_held = now >= peer.held_told_at + quarantine.HELD_RESEND_S",
+        "include_held = False",
     ),
     proofs.gateway(
         "agents pass on what entries hold",
--- a/misc/proofs_gateway_requests.py
+++ b/misc/proofs_gateway_requests.py
@@ -89,14 +89,14 @@
         "a send that waits is taken back when its request is held",
         "testpoison.py::test_a_send_that_waits_is_taken_back_when_its_request_is_held",
         "gateway_sender.py",
-        "if self._gate.is_to_be_withdrawn(call, attempt):",
+        "if self._gate.should_withdraw(call, attempt):",
         "if False:",
     ),
     proofs.gateway(
         "a whole answer clears a request",
         "testpoison.py::test_a_stream_that_runs_goes_on_and_clears_its_request",
         "gateway_relay.py",
-        "                self._gate.note_whole(call)\n",
+        "                self._gate.record_success(call)\n",
     ),
     proofs.gateway(
         "an endpoint that takes connections has not ended",
@@ -105,7 +105,7 @@
         "gateway_sender.py",
         "        if lives:\n            self._gate.lives(endpoint)\n"
         "        elif weight:\n",
-        "        endpoint.is_dark = True\n        if weight:\n",
+        "        endpoint.is_unreachable = True\n        if weight:\n",
     ),
     proofs.gateway(
         "the own mode's entries hold a request as well",
--- a/misc/proofs_gateway_restores.py
+++ b/misc/proofs_gateway_restores.py
@@ -58,7 +58,7 @@
         "testepochs.py::test_a_table_is_read_anew_when_a_peer_tells_a_restore_of"
         "_another",
         "row_exchange.py",
-        'self._epochs.note(news.epoch, "peer", epoch_age_s)',
+        'self._epochs.record(news.epoch, "peer", epoch_age_s)',
         "pass",
     ),
     proofs.gateway(
@@ -138,7 +138,7 @@
         "a gateway's own row is written again",
         "testrestored.py::test_a_gateways_own_row_is_written_again_after_a_restore"
         "_lost_it",
-        "gateway_own.py",
+        "gateway_own_rows.py",
         "            self.look()\n",
         "            pass\n",
     ),
--- a/misc/proofs_gateway_store.py
+++ b/misc/proofs_gateway_store.py
@@ -127,7 +127,7 @@
         "an announcement is made until it is answered",
         "testfreshness.py::test_a_gateway_whose_announcement_was_not_answered_makes_it"
         "_again",
-        "gateway_own.py",
+        "gateway_own_rows.py",
         "self._until_done(self._announce)",
         "self._announce()",
     ),
@@ -200,7 +200,7 @@
         "slow old answers do not hide a slow new version",
         "testunstopped.py::test_slow_answers_of_the_old_version_do_not_hide_a_slow"
         "_new_one",
-        "rollout_pace.py",
+        "rollout_latency.py",
         "return times[int(FAST_SHARE * len(times))]",
         "return sum(times) / len(times)",
     ),
@@ -209,14 +209,14 @@
         "testunstopped.py::test_an_endpoint_that_crashes_does_not_speak_against_its"
         "_version",
         "gateway_judge.py",
-        "if not lives or not self.looks_at_breaks(call):",
-        "if not self.looks_at_breaks(call):",
+        "if not lives or not self.judges_breaks(call):",
+        "if not self.judges_breaks(call):",
     ),
     proofs.gateway(
         "a version in doubt is not completed",
         "testunstopped.py::test_a_version_in_doubt_is_not_completed",
         "rollout_writer.py",
-        "if not self._rollouts.is_doubted(rollout):",
+        "if not self._rollouts.is_suspected(rollout):",
         "if True:",
     ),
     proofs.gateway(
@@ -239,7 +239,9 @@
         "testrollouts.py::test_a_rollout_completes_when_nothing_runs_on_the_old"
         "_version",
         "rollout_writer.py",
-        "now >= self._latest(rollout) or not self._mesh.on_old_version(service)",
+        "now >= self._latest(rollout) or not self._mesh.count_on_old_version(\n"
+        "            service\n"
+        "        )",
         "True",
     ),
     proofs.gateway(
