--- a/gaprock/backlog.py
+++ b/gaprock/backlog.py
@@ -1,62 +1,63 @@
-"""What an engine has yet to read for all gateways, as one of them believes.
+"""Estimates the outstanding prefill work of an engine, over all gateways.
 
-Each gateway knows its own prompts that wait, and is told those of the others.  A prompt
-counts as waiting until its first event, but an engine reads it bit by bit, so what is
-left falls with the time since something was last read.  Tokens are those of the largest
-model.
+Each gateway knows its own prompts that await prefill, and the other gateways report
+theirs. A prompt counts as outstanding until its first event. But an engine reads it
+gradually, so the estimate falls with the time since a prompt was last finished. The
+unit is tokens of the largest model.
 """
 
 import typing
 
-# Share of its pace at which an engine is taken to read: it makes tokens meanwhile.  And
-# the share of what waits that is never taken as read, since the belief may be wrong.
-# Guards against queues that look full long after they were read, and requests that go
-# to other halls for it.
+# Without these estimates, a queue would look full long after it was read, and requests
+# would go to other halls because of it. The first is the share of its prefill rate at
+# which an engine is assumed to read, as it decodes at the same time. The second is the
+# share of the outstanding tokens that always counts as unread, since the estimate may
+# be wrong.
 READING_SHARE: typing.Final = 0.6
 LEFT_SHARE: typing.Final = 0.2
 
 
 class Backlog:
-    """The prompts that wait at one engine; not safe for threads by itself."""
+    """The outstanding prefill work of one engine; not thread-safe."""
 
-    __slots__ = ("own", "_others", "_read_at")
+    __slots__ = ("own", "_peers", "_last_read_at")
 
     def __init__(self) -> None:
-        # Our prompts, and those of other gateways by their names.
+        # Tokens of this gateway's prompts, and of other gateways' by gateway name.
         self.own = 0.0
-        self._others: dict[str, float] = {}
-        # When something was last read, or when the first prompt came.
-        self._read_at = 0.0
+        self._peers: dict[str, float] = {}
+        # When a prompt was last read, or when the first one was added.
+        self._last_read_at = 0.0
 
     @property
     def told(self) -> float:
-        """All that waits, whatever was read of it since."""
-        return self.own + sum(self._others.values())
+        """All outstanding tokens, without an estimate of what was read since."""
+        return self.own + sum(self._peers.values())
 
     def add(self, tokens: float, now: float) -> None:
-        """Take a prompt of ours."""
+        """Add a prompt of this gateway."""
         if not self.told:
-            self._read_at = now
+            self._last_read_at = now
         self.own += tokens
 
     def remove(self, tokens: float, now: float) -> None:
-        """Take a prompt of ours out, since it was read or will not be."""
+        """Remove a prompt of this gateway that was read or will not be read."""
         self.own = max(0.0, self.own - tokens)
-        self._read_at = now
+        self._last_read_at = now
 
     def take(self, gateway: str, tokens: float, now: float) -> None:
-        """Take what another gateway has waiting."""
-        before = self._others.pop(gateway, 0.0)
+        """Record the outstanding tokens that another gateway reports."""
+        before = self._peers.pop(gateway, 0.0)
         if tokens < before or not self.told:
-            self._read_at = now
+            self._last_read_at = now
         if tokens:
-            self._others[gateway] = tokens
+            self._peers[gateway] = tokens
 
     def left(self, now: float, tokens_per_s: float) -> float:
-        """Give what is likely left.
+        """Estimate the tokens that are still unread.
 
-        :param tokens_per_s: how fast the engine reads.
+        :param tokens_per_s: the engine's prefill rate.
         """
         told = self.told
-        read = READING_SHARE * tokens_per_s * max(0.0, now - self._read_at)
+        read = READING_SHARE * tokens_per_s * max(0.0, now - self._last_read_at)
         return max(LEFT_SHARE * told, told - read)
--- a/gaprock/decisions.py
+++ b/gaprock/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions: a log line for each, and a short memory for ``gaprock explain``."""
+"""Logs the decisions on requests, and keeps the latest for ``gaprock explain``."""
 
 import collections
 import threading
@@ -6,12 +6,12 @@
 
 from gaprock import eventlog
 
-# Requests whose decisions are remembered.
+# Number of requests whose decisions are kept.
 MAX_REQUESTS: typing.Final = 5000
 
 
 class Decisions:
-    """Logs decisions and keeps those of the last requests."""
+    """Logs decisions and keeps those of the latest requests."""
 
     __slots__ = ("_lock", "_lines")
 
@@ -20,7 +20,7 @@
         self._lines: collections.OrderedDict[str, list[str]] = collections.OrderedDict()
 
     def log(self, kind: str, request: str, **fields: object) -> None:
-        """Log one decision of a request."""
+        """Log and keep a decision on a request."""
         line = eventlog.line(kind, {"request": request, **fields})
         eventlog.info_line(line)
         with self._lock:
@@ -29,6 +29,6 @@
                 self._lines.popitem(last=False)
 
     def explain(self, request: str) -> list[str]:
-        """Give the decision lines of a request that was here lately."""
+        """Return the log lines of the decisions on a recent request."""
         with self._lock:
             return list(self._lines.get(request, ()))
--- a/gaprock/gateway_choose.py
+++ b/gaprock/gateway_choose.py
@@ -1,4 +1,4 @@
-"""Chooses where a call goes: the service of its route, and the endpoint of a send."""
+"""Chooses the service of a call's route, and the endpoint of each send."""
 
 import random
 import typing
@@ -20,23 +20,23 @@
     routes,
 )
 
-# One in so many requests that may be repeated goes to an endpoint that fails often,
-# so that its recovery is noticed.
-TRIAL_CHANCE: typing.Final = 0.05
-# Weight of a new prompt in the running mean of their lengths.
+# Probability with which a repeatable request is sent to an endpoint that likely fails,
+# as a probe that detects its recovery.
+PROBE_CHANCE: typing.Final = 0.05
+# Weight of a new prompt in the moving average of prompt lengths.
 MEAN_WEIGHT: typing.Final = 0.05
 
 
-# The endpoint of a send, and what the prompt makes it read.
+# The endpoint of a send, and the prefill work of the prompt there.
 Choice = tuple[endpoint_state.Endpoint, endpoint_state.Prompt]
 
 
-class _Fitting(typing.NamedTuple):
-    """The endpoints that are looked at for a send.
+class _EndpointSets(typing.NamedTuple):
+    """The endpoints that are considered for a send.
 
     :param usable: those that may get a request now.
-    :param fitting: those of them that may get this one.
-    :param paced: those that may get this one later, by the rate limits they name.
+    :param fitting: those among them that may get this request.
+    :param paced: those that may get this request later, because of their rate limits.
     """
 
     usable: list[endpoint_state.Endpoint]
@@ -45,11 +45,11 @@
 
 
 class Chooser:
-    """The choice of services and endpoints; safe for all threads.
+    """Chooses services and endpoints; thread-safe.
 
-    :param hall: the hall that this gateway stands in.
-    :param services: the services of the configuration in force, by name.
-    :param regions: gives the region of each hall, by its name.
+    :param hall: the hall of this gateway.
+    :param services: returns the services of the configuration in force, by name.
+    :param regions: returns the region of each hall, by hall name.
     """
 
     def __init__(
@@ -70,11 +70,11 @@
         self._services = services
         self._regions = regions
         self._rng = random.Random()
-        # Mean length of a service's prompts, in tokens of the largest model.
+        # Mean prompt length by service, in tokens of the largest model.
         self._mean_prompt: dict[str, float] = {}
 
     def service(self, route: routes.Route) -> str:
-        """Choose the service of a request by the weights of its route."""
+        """Choose the service of a request at random, by the weights of its route."""
         pools = [pool for pool in route.pools if pool.weight > 0]
         if len(pools) <= 1:
             return (pools or route.pools)[0].service
@@ -82,12 +82,12 @@
         return self._rng.choices(pools, weights)[0].service
 
     def endpoint(self, call: gateway_call.Call, model: str) -> Choice | None:
-        """Choose the endpoint of the next send; ``None`` when there is none.
+        """Choose the endpoint of the next send; ``None`` if there is none.
 
-        :param model: the model that is asked; empty for the one that the caller named.
+        :param model: the model to ask; empty for the model that the caller named.
         """
         now = self._clock.now()
-        usable, fitting, paced = self._fitting(call)
+        usable, fitting, paced = self._endpoint_sets(call)
         good = [e for e in fitting if not self._is_avoided(call, e, now)]
         service = self._services().get(call.service)
         weight = self._directory.pace.weight(service, model) if service else 0.0
@@ -99,7 +99,7 @@
         prompts = {e.name: e.prompt(hashes, tokens, weight) for e in fitting + paced}
         chosen = self._best(good or fitting, prompts, mean)
         if paced:
-            self._note_paced(call, chosen, paced, prompts, mean)
+            self._record_paced(call, chosen, paced, prompts, mean)
         if chosen is None:
             return None
         prompt = prompts[chosen.name]
@@ -126,7 +126,7 @@
         )
         return chosen, prompt
 
-    def _note_paced(
+    def _record_paced(
         self,
         call: gateway_call.Call,
         chosen: endpoint_state.Endpoint | None,
@@ -134,7 +134,7 @@
         prompts: dict[str, endpoint_state.Prompt],
         mean: float,
     ) -> None:
-        """Note the endpoint that would have had a send, had its limit allowed it."""
+        """Log and record an endpoint that was not chosen only due to its rate limit."""
         best = self._best(([chosen] if chosen else []) + paced, prompts, mean)
         if best is None or best is chosen:
             return
@@ -147,13 +147,14 @@
             next_s=self._directory.pacer.turn(best).next_at - self._clock.now(),
         )
 
-    def _fitting(self, call: gateway_call.Call) -> "_Fitting":
-        """Give the usable endpoints that are looked at, and those that fit a call."""
+    def _endpoint_sets(self, call: gateway_call.Call) -> "_EndpointSets":
+        """Return the endpoints to consider for a call."""
         assignment = self._rollouts.assignment(
             call.service, call.session, call.is_in_session
         )
         fits = self._fits(call, assignment)
-        # The share of an unproved version is one of all its endpoints.
+        # The canary's share of endpoints is a share of all of them, so all are
+        # considered.
         is_canary = assignment is not None and self._rollouts.is_canary_limited(
             assignment
         )
@@ -168,7 +169,7 @@
             [e.name for e in fitting if e.row.hall == self._hall],
         )
         paced = self._directory.paced(call.service, call.excluded)
-        return _Fitting(
+        return _EndpointSets(
             usable,
             [e for e in fitting if e.name in narrowed],
             [e for e in paced if fits(e)],
@@ -177,19 +178,19 @@
     def _fits(
         self, call: gateway_call.Call, assignment: rollout_state.Assignment | None
     ) -> endpoint_index.Test:
-        """Make the test of endpoints that may run a call, whenever that is."""
-        has_homes = bool(call.route.regions or _own_regions(call))
+        """Return a test for endpoints that may run a call, now or later."""
+        is_region_bound = bool(call.route.regions or _own_regions(call))
 
         def fits(e: endpoint_state.Endpoint) -> bool:
             takes = assignment is None or assignment.takes(e.row.version)
-            return takes and (not has_homes or self._may_run_in(call, e.row.hall))
+            return takes and (not is_region_bound or self._may_run_in(call, e.row.hall))
 
         return fits
 
     def turn(self, call: gateway_call.Call) -> rate_pacing.Turn | None:
-        """Give when those that may run a call take it.
+        """Return when the endpoints that may run a call accept the next send.
 
-        :returns: ``None`` where there are none, or one of them takes any number.
+        :returns: ``None`` if there is no such endpoint, or if one has no rate limit.
         """
         assignment = self._rollouts.assignment(
             call.service, call.session, call.is_in_session
@@ -203,7 +204,10 @@
         return rate_pacing.Turn(next_at, sum(turn.per_s for turn in turns))
 
     def living(self, call: gateway_call.Call) -> tuple[int, int]:
-        """Count the endpoints that may run a call and are not dark, and all of them."""
+        """Count the endpoints that may run a call.
+
+        :returns: the number of those that are reachable, and of all of them.
+        """
         assignment = self._rollouts.assignment(
             call.service, call.session, call.is_in_session
         )
@@ -213,19 +217,22 @@
         return len(living), count
 
     def has_no_permitted_hall(self, call: gateway_call.Call) -> bool:
-        """Whether all endpoints stand where a call may not run, so none is awaited."""
+        """Whether all endpoints are in halls where a call may not run.
+
+        In this case there is no point in waiting for an endpoint.
+        """
         halls = self._directory.halls_of(call.service)
         open_halls = halls - self._directory.emptied
         return bool(halls) and not any(self._may_run_in(call, h) for h in open_halls)
 
     def _may_run_in(self, call: gateway_call.Call, hall: str) -> bool:
-        """Whether the regions of a call's route and of its workspace hold a hall."""
+        """Whether a call's route and its workspace both allow the region of a hall."""
         region = self._regions().get(hall, "")
-        homes = (call.route.regions, _own_regions(call))
-        return all(not regions or region in regions for regions in homes)
+        allowed_regions = (call.route.regions, _own_regions(call))
+        return all(not regions or region in regions for regions in allowed_regions)
 
     def note_end(self, call: gateway_call.Call) -> None:
-        """Note that a call is over: a session's rest begins."""
+        """Record that a call is over, from when on its session counts as idle."""
         if call.is_in_session:
             self._rollouts.record_session_end(call.service, call.session)
 
@@ -233,18 +240,18 @@
         self, call: gateway_call.Call, endpoint: endpoint_state.Endpoint, now: float
     ) -> bool:
         if endpoint.is_suspected:
-            return not self._may_try(call)
+            return not self._may_probe(call)
         if not self._directory.is_ejected(endpoint, now):
-            # The first request after a pause is a trial; not with one that may not
+            # The first request after a pause is a probe. It must be one that may
             # be repeated.
             return bool(endpoint.ejected_until) and not call.route.repeatable
         if now < endpoint.ejected_until or endpoint.probe_in_flight:
             return True
-        return not self._may_try(call)
+        return not self._may_probe(call)
 
-    def _may_try(self, call: gateway_call.Call) -> bool:
-        """Whether a call is one of the few that try an endpoint that likely fails."""
-        return call.route.repeatable and self._rng.random() < TRIAL_CHANCE
+    def _may_probe(self, call: gateway_call.Call) -> bool:
+        """Whether a call is one of the few that probe an endpoint that likely fails."""
+        return call.route.repeatable and self._rng.random() < PROBE_CHANCE
 
     def _best(
         self,
@@ -267,9 +274,9 @@
         unread: float,
         mean_prompt: float,
     ) -> policy_api.Candidate:
-        """Give what the routing plug-in needs to know of an endpoint.
+        """Build the routing plug-in's view of an endpoint.
 
-        A gateway counts all requests as running: it is told of no queue.
+        All requests count as running, since endpoints do not report queues to gateways.
         """
         load = endpoint.load
         return policy_api.Candidate(
@@ -293,5 +300,5 @@
 
 
 def _own_regions(call: gateway_call.Call) -> frozenset[str]:
-    """Give the regions that a call's workspace allows; none for all."""
+    """Return the regions that a call's workspace allows; empty if it allows all."""
     return call.workspace.regions if call.workspace else frozenset()
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -1,7 +1,7 @@
-"""Finds an endpoint for a send, or says why there is none and when to come back.
+"""Finds an endpoint for a send, or refuses the call with a reason and a retry time.
 
-What can be served in time waits: a moment for an endpoint that may come, in line for
-endpoints that take only so many requests a second.  What cannot is refused at once.
+A call that can be served in time waits: for a short time for an endpoint to become
+usable, or in the queue for rate-limited endpoints. Any other call is refused at once.
 """
 
 import random
@@ -20,22 +20,22 @@
     retry_schedule,
 )
 
-# A call for which no endpoint is usable is looked at again after this long, and
-# refused after this share of its goal.
-WAIT_LOOK_S: typing.Final = 0.03
+# A call without a usable endpoint is tried again at this interval. It is refused after
+# this share of its latency goal.
+POLL_INTERVAL_S: typing.Final = 0.03
 WAIT_SHARE: typing.Final = 0.2
-# Where all that may run a call take only so many a second, it waits for its turn until
-# this share of its goal, if that comes by then.
-TURN_SHARE: typing.Final = 0.6
-# When to come back where all halls that may run it are emptied, which takes an operator
-# to end, seconds.
-COME_BACK_NO_HALL_S: typing.Final = (1.0, 3.0)
+# If all endpoints that may run a call are rate-limited, it is queued if its turn comes
+# within this share of its latency goal.
+QUEUE_SHARE: typing.Final = 0.6
+# Range of the retry delay if all halls that may run a call are cordoned. That state
+# lasts until an operator ends it.
+NO_HALL_RETRY_S: typing.Final = (1.0, 3.0)
 
 
 class Finder:
-    """Finds endpoints; safe for all threads.
+    """Finds endpoints; thread-safe.
 
-    :param queue: who waits for endpoints that take only so many requests a second.
+    :param queue: the queues for rate-limited endpoints.
     """
 
     __slots__ = (
@@ -44,8 +44,8 @@
         "_gate",
         "_queue",
         "_rng",
-        "_returns",
-        "_absences",
+        "_retry_schedule",
+        "_outages",
     )
 
     def __init__(
@@ -60,21 +60,24 @@
         self._gate = gate
         self._queue = queue
         self._rng = random.Random()
-        self._returns = retry_schedule.RetrySchedule()
-        self._absences = outages.Outages()
+        self._retry_schedule = retry_schedule.RetrySchedule()
+        self._outages = outages.Outages()
 
     def note_sent(self, call: gateway_call.Call) -> None:
-        """Note that an endpoint took a call."""
-        self._absences.record_recovery(call.service, self._clock.now())
+        """Record that an endpoint accepted a call."""
+        self._outages.record_recovery(call.service, self._clock.now())
 
     def note_end(self) -> None:
-        """Note that a request ended and left room."""
-        self._returns.note_end(self._clock.now())
+        """Record that a request ended and freed a slot."""
+        self._retry_schedule.note_end(self._clock.now())
 
     def find(
         self, call: gateway_call.Call, reply: gateway_call.Reply, model: str
     ) -> gateway_choose.Choice:
-        """Choose an endpoint, waiting a moment for one when there is none."""
+        """Choose an endpoint, waiting for a short time if there is none.
+
+        :raises gateway_call.GivenUp: if no endpoint is found.
+        """
         give_up_at = self._clock.now() + WAIT_SHARE * call.route.goal_s
         give_up_at = min(give_up_at, call.deadline)
         while True:
@@ -82,37 +85,41 @@
                 chosen = self._choose(call, reply, model)
                 if chosen is not None:
                     return chosen
-                self._refuse_hopeless(call)
+                self._refuse_unservable(call)
             now = self._clock.now()
             if now >= give_up_at:
                 raise self.refused(call, "no usable endpoint")
             reply.caller.check()
-            if call.excluded and not call.has_run and now + WAIT_LOOK_S >= give_up_at:
-                # All were asked once: ask again rather than refuse.
+            if (
+                call.excluded
+                and not call.has_run
+                and now + POLL_INTERVAL_S >= give_up_at
+            ):
+                # All endpoints were tried once; try them again rather than refuse.
                 call.excluded.clear()
-            threading.Event().wait(WAIT_LOOK_S)
+            threading.Event().wait(POLL_INTERVAL_S)
 
     def _must_wait(self, call: gateway_call.Call) -> bool:
-        """Whether a suspected request waits for an earlier try, or for endpoints."""
+        """Whether a suspected request must wait for an earlier try or for endpoints."""
         gate = self._gate
         return gate.must_wait(call) or gate.must_spare(call, self._chooser.living)
 
-    def _refuse_hopeless(self, call: gateway_call.Call) -> None:
-        """Give a call up at once that nobody can run now.
+    def _refuse_unservable(self, call: gateway_call.Call) -> None:
+        """Refuse a call at once if no endpoint can run it now.
 
-        :raises gateway_call.GivenUp: when its halls are emptied, or each endpoint that
-            may run it is gone or took no connection a moment ago.
+        :raises gateway_call.GivenUp: if its halls are cordoned, or every endpoint that
+            may run it is gone or did not accept a connection a moment ago.
         """
         if self._chooser.has_no_permitted_hall(call):
-            raise self._shut_out(call)
+            raise self._no_permitted_hall(call)
         living, _ = self._chooser.living(call)
         if not living:
-            raise self._gone(call)
+            raise self._all_down(call)
 
     def _choose(
         self, call: gateway_call.Call, reply: gateway_call.Reply, model: str
     ) -> gateway_choose.Choice | None:
-        """Choose an endpoint; whoever waits for one already goes first."""
+        """Choose an endpoint; requests that are already queued go first."""
         if self._queue.is_empty(call.service):
             chosen = self._chooser.endpoint(call, model)
             if chosen is not None:
@@ -129,12 +136,13 @@
         model: str,
         turn: rate_pacing.Turn | None,
     ) -> gateway_choose.Choice | None:
-        """Wait in line for endpoints that take only so many requests a second.
+        """Wait in the queue for rate-limited endpoints.
 
-        :returns: ``None`` when there are none of these any more.
-        :raises gateway_call.GivenUp: as soon as the turn will come too late.
+        :returns: ``None`` if the rate limits no longer apply, or if endpoints that
+            refused the call should be tried again.
+        :raises gateway_call.GivenUp: as soon as the call's turn would come too late.
         """
-        latest_at = call.inbound.arrived_at + TURN_SHARE * call.route.goal_s
+        latest_at = call.inbound.arrived_at + QUEUE_SHARE * call.route.goal_s
         latest_at = min(latest_at, call.deadline)
         place = self._queue.enter(call)
         try:
@@ -145,21 +153,21 @@
                         return chosen
                 if self._queue.sent_at(call, place, turn) > latest_at:
                     if call.excluded and not call.has_run:
-                        # One that refused it may have room by now.
+                        # An endpoint that refused the call may have a free slot by now.
                         call.excluded.clear()
                         return None
-                    raise self._paced_out(call, turn)
+                    raise self._rate_limited(call, turn)
                 reply.caller.check()
-                threading.Event().wait(WAIT_LOOK_S)
+                threading.Event().wait(POLL_INTERVAL_S)
                 turn = self._chooser.turn(call)
             return None
         finally:
             self._queue.leave(call, place)
 
-    def _paced_out(
+    def _rate_limited(
         self, call: gateway_call.Call, turn: rate_pacing.Turn
     ) -> gateway_call.GivenUp:
-        """Give a call up whose turn does not come in time."""
+        """Return the refusal of a call whose turn does not come in time."""
         if call.has_run:
             return self.unknown(call, "endpoints take no more")
         now = self._clock.now()
@@ -169,40 +177,43 @@
         return gateway_call.GivenUp(errorcodes.PACED, detail, retry_s)
 
     def refused(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
-        """Give a call up that no endpoint took."""
+        """Return the refusal of a call that no endpoint accepted."""
         if call.has_run:
             return self.unknown(call, detail)
         if self._clock.now() >= call.deadline:
             return gateway_call.GivenUp(errorcodes.DEADLINE_PAST, detail, 0.0)
         turn = self._chooser.turn(call)
         if turn is not None and turn.next_at > self._clock.now():
-            return self._paced_out(call, turn)
+            return self._rate_limited(call, turn)
         return self.overloaded(detail, call.wait_until - self._clock.now())
 
-    def _gone(self, call: gateway_call.Call) -> gateway_call.GivenUp:
-        """Give a call up whose service is wholly gone."""
+    def _all_down(self, call: gateway_call.Call) -> gateway_call.GivenUp:
+        """Return the refusal of a call for which all endpoints are down."""
         if call.has_run:
             return self.unknown(call, "all endpoints are dark")
         now = self._clock.now()
-        self._absences.record_outage(call.service, now)
+        self._outages.record_outage(call.service, now)
         caller_s = call.wait_until - now
-        retry_s = self._absences.retry_after_s(call.service, now, caller_s)
+        retry_s = self._outages.retry_after_s(call.service, now, caller_s)
         return gateway_call.GivenUp(errorcodes.NO_ENDPOINT, "all are dark", retry_s)
 
-    def _shut_out(self, call: gateway_call.Call) -> gateway_call.GivenUp:
-        """Give a call up at once that may run nowhere while its halls are emptied."""
+    def _no_permitted_hall(self, call: gateway_call.Call) -> gateway_call.GivenUp:
+        """Return the refusal of a call for which all halls are cordoned."""
         if call.has_run:
             return self.unknown(call, "halls emptied")
-        retry_s = self._rng.uniform(*COME_BACK_NO_HALL_S)
+        retry_s = self._rng.uniform(*NO_HALL_RETRY_S)
         return gateway_call.GivenUp(errorcodes.NO_HALL, "", retry_s)
 
     def overloaded(self, detail: str, caller_s: float) -> gateway_call.GivenUp:
-        """Refuse for want of room; the caller comes back in its turn."""
-        retry_s = self._returns.next_s(self._clock.now(), caller_s)
+        """Return a refusal due to overload, with the caller's turn as the retry time.
+
+        :param caller_s: the time for which the caller still waits.
+        """
+        retry_s = self._retry_schedule.next_s(self._clock.now(), caller_s)
         return gateway_call.GivenUp(errorcodes.OVERLOADED, detail, retry_s)
 
     def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
-        """Give a call up that may have run."""
+        """Return the error for a call that may have run."""
         if self._clock.now() >= call.deadline:
             return gateway_call.GivenUp(errorcodes.DEADLINE_RUNNING, detail)
         return gateway_call.GivenUp(errorcodes.OUTCOME_UNKNOWN, detail)
--- a/gaprock/gateway_judge.py
+++ b/gaprock/gateway_judge.py
@@ -1,9 +1,9 @@
-"""What answers tell of their endpoints and versions, and what their absence does.
+"""Judges endpoints and versions by the answers to sends, or by missing answers.
 
-A send speaks for or against the version that it went to as soon as that is known: with
-the first part of its answer, with a failure, or when it has waited far longer than the
-stable version takes, whether an answer still comes or not.  Callers of a slow version
-leave, or their time is over, before its answers are there.
+A send counts as evidence for or against its version as early as possible: at the first
+part of its answer, at a failure, or once it has waited far longer than the stable
+version takes, whether or not an answer still arrives. Otherwise a slow version would
+often go unjudged, as callers disconnect or reach their deadline before it answers.
 """
 
 import typing
@@ -18,12 +18,12 @@
     rollouts,
 )
 
-# Events of a stream that show its pace.
+# Number of events from which a stream shows the time between events.
 MIN_PACE_EVENTS: typing.Final = 5
 
 
 class AnswerJudge:
-    """Takes sends as evidence; safe for all threads."""
+    """Turns the results of sends into evidence; thread-safe."""
 
     __slots__ = ("_clock", "_directory", "_rollouts")
 
@@ -43,79 +43,92 @@
         attempt: gateway_attempt.Attempt,
         failed: bool,
     ) -> None:
-        """Take the first part of an answer."""
+        """Judge a send by the first part of its answer.
+
+        :param failed: whether the answer is a failure of the endpoint.
+        """
         self._directory.answered(attempt.endpoint, failed)
         if attempt.is_judged:
             return
         attempt.is_judged = True
         version = attempt.endpoint.row.version
         if failed and version in call.failed_on:
-            # A request that fails wherever it is sent speaks once: with each of its
-            # sends counted, 7 such requests were 14 of 22 answers and halted a good
-            # version beside 8 of 40.
+            # A request that fails wherever it is sent counts once per version. With
+            # each of its sends counted, 7 such requests made up 14 of 22 answers, and
+            # a good version was halted although the stable version had 8 of 40.
             return
         if failed:
             call.failed_on.add(version)
-        took_s = None if call.info.resume_after is not None else self._took(attempt)
-        judged = rollout_latency.VersionSample(
-            failed, took_s, self._expected(call, attempt)
+        took_s = (
+            None if call.info.resume_after is not None else self._elapsed_s(attempt)
+        )
+        sample = rollout_latency.VersionSample(
+            failed, took_s, self._expected_s(call, attempt)
         )
-        self._judge(call, attempt, call.route.name, judged)
+        self._judge(call, attempt, call.route.name, sample)
 
     def judge_pending(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
     ) -> None:
-        """Take that a send has no answer yet, or ends without one."""
+        """Judge a send that has no answer yet, or ends without one."""
         if attempt.is_judged or not attempt.sent_at:
             return
         if not self._rollouts.is_judged(call.service):
             return
         if call.info.resume_after is not None:
             return
-        judged = rollout_latency.VersionSample(
-            False, self._took(attempt), self._expected(call, attempt), is_open=True
+        sample = rollout_latency.VersionSample(
+            False,
+            self._elapsed_s(attempt),
+            self._expected_s(call, attempt),
+            is_open=True,
         )
-        if self._judge(call, attempt, call.route.name, judged):
+        if self._judge(call, attempt, call.route.name, sample):
             attempt.is_judged = True
 
     def judges_breaks(self, call: gateway_call.Call) -> bool:
-        """Whether an answer that breaks off says something of its version."""
+        """Whether an interrupted answer counts as evidence about its version."""
         return self._rollouts.is_judged(call.service)
 
     def record_broken_answer(
-        self, call: gateway_call.Call, attempt: gateway_attempt.Attempt, lives: bool
+        self,
+        call: gateway_call.Call,
+        attempt: gateway_attempt.Attempt,
+        is_reachable: bool,
     ) -> None:
-        """Take that an answer broke off.
+        """Judge a send whose answer was interrupted.
 
-        :param lives: whether the endpoint takes connections.  One that crashed is no
-            fault of its version, and has many answers break off at once.
+        :param is_reachable: whether the endpoint accepts connections. If not, it has
+            crashed. This is not counted against its version, and would interrupt many
+            answers at once.
         """
         self._directory.answered(attempt.endpoint, failed=True)
-        if not lives or not self.judges_breaks(call):
+        if not is_reachable or not self.judges_breaks(call):
             return
         attempt.is_judged = True
-        judged = rollout_latency.VersionSample(True, None)
-        self._judge(call, attempt, call.route.name, judged)
+        sample = rollout_latency.VersionSample(True, None)
+        self._judge(call, attempt, call.route.name, sample)
 
     def judge_event_gaps(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
     ) -> None:
-        """Take the time between a whole stream's events."""
+        """Judge a completed stream by the time between its events."""
         if call.events < MIN_PACE_EVENTS:
             return
         pace_s = (call.wrote_at - call.first_at) / (call.events - 1)
-        judged = rollout_latency.VersionSample(False, pace_s)
-        self._judge(call, attempt, f"{call.route.name}~pace", judged)
+        sample = rollout_latency.VersionSample(False, pace_s)
+        self._judge(call, attempt, f"{call.route.name}~pace", sample)
 
-    def _took(self, attempt: gateway_attempt.Attempt) -> float:
+    def _elapsed_s(self, attempt: gateway_attempt.Attempt) -> float:
         return self._clock.now() - attempt.sent_at
 
-    def _expected(
+    def _expected_s(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
     ) -> float | None:
-        """Give the seconds to the first part that were expected, if known.
+        """Return the expected time to the first part in seconds, if known.
 
-        The endpoints of an unproved version have fuller queues than others.
+        It depends on the tokens ahead, since the endpoints of a canary have longer
+        queues than others.
         """
         if not attempt.tokens_ahead:
             return None
@@ -126,12 +139,12 @@
         call: gateway_call.Call,
         attempt: gateway_attempt.Attempt,
         route: str,
-        judged: rollout_latency.VersionSample,
+        sample: rollout_latency.VersionSample,
     ) -> str:
-        """Hand evidence on; give what it holds against the version."""
+        """Record evidence; return what it holds against the version, if anything."""
         version = attempt.endpoint.row.version
         against = self._rollouts.judge_answer(
-            call.service, version, route, attempt.model, judged
+            call.service, version, route, attempt.model, sample
         )
         if against and self._rollouts.is_canary(call.service, version):
             eventlog.info(
@@ -142,8 +155,8 @@
                 endpoint=attempt.endpoint.name,
                 route=route,
                 reason=against,
-                open=judged.is_open,
-                took_s=judged.took_s or 0.0,
-                expected_s=judged.expected_s or 0.0,
+                open=sample.is_open,
+                took_s=sample.took_s or 0.0,
+                expected_s=sample.expected_s or 0.0,
             )
         return against
--- a/gaprock/gateway_models.py
+++ b/gaprock/gateway_models.py
@@ -1,6 +1,6 @@
-"""The model of a call: which is asked first, and whether a larger one is asked instead.
+"""Chooses the model of a call, and whether to escalate to a larger one.
 
-The decision is the plug-in's (``policy_models``); here is what it needs to know.
+The decision is made by a plug-in (``policy_models``). This module collects its input.
 """
 
 import typing
@@ -22,16 +22,17 @@
     routes,
 )
 
-# Repeats that are left to failures before models are climbed, per service.
+# Part of each service's retry budget that is reserved for failures: escalations don't
+# use the last repeats.
 ESCALATION_RESERVE: typing.Final = 4.0
 
 
 class ModelPicker:
-    """Asks the plug-in; safe for all threads.
+    """Asks the plug-in for the model of a call; thread-safe.
 
-    :param services: the services of the configuration in force, by name.
-    :param hall: the hall that this gateway stands in.
-    :param queue: who waits for a first send.
+    :param services: returns the services of the configuration in force, by name.
+    :param hall: the hall of this gateway.
+    :param queue: the queues for rate-limited endpoints.
     """
 
     __slots__ = (
@@ -66,43 +67,43 @@
         self._queue = queue or paced_queue.PacedQueue()
 
     def first(self, call: gateway_call.Call) -> str:
-        """Choose the model; empty where the caller named it."""
+        """Choose the model to ask first; empty if the caller named it."""
         if not call.info.any_model or not call.route.models:
             return ""
-        # A stream that a caller resumes is no exception: the models' opinions are of
-        # the whole request, whichever made its first part, and many such come at once
-        # after a kill.
-        return self._choice.first(self._ask(call)) or call.route.models[-1]
+        # This includes streams that a caller resumes: the models' confidence applies to
+        # the whole request, whichever model made its first part, and many streams are
+        # resumed at once after a gateway was killed.
+        return self._choice.first(self._query(call)) or call.route.models[-1]
 
     def larger(
         self,
         call: gateway_call.Call,
         attempt: gateway_attempt.Attempt,
     ) -> str:
-        """Give the model to ask instead, or an empty text to keep the answer."""
+        """Return the model to escalate to; empty to keep the answer."""
         head = attempt.head
         if not attempt.model:
             return ""
         if head.status >= gateway_attempt.SUCCESS_END or not call.route.repeatable:
             return ""
-        ask = self._ask(call)
+        query = self._query(call)
         self._learn(call, attempt)
-        larger = self._choice.escalate(ask, attempt.model, head.confidence)
+        larger = self._choice.escalate(query, attempt.model, head.confidence)
         call.opinion = (attempt.model, head.confidence)
         eventlog.info(
             "model",
             request=call.info.request,
             model=attempt.model,
             confidence="none" if head.confidence is None else head.confidence,
-            left_s=ask.left_s,
-            first_s="/".join(f"{s:.2f}" for s in ask.first_s),
-            climbs_left=ask.climbs_left,
+            left_s=query.left_s,
+            first_s="/".join(f"{s:.2f}" for s in query.first_s),
+            climbs_left=query.escalations_left,
             choice=larger or "keep",
         )
         return larger or ""
 
     def _learn(self, call: gateway_call.Call, attempt: gateway_attempt.Attempt) -> None:
-        """Compare a larger model's opinion of its answer with the smaller one's."""
+        """Learn from a smaller and a larger model's confidence in their answers."""
         model, before = call.opinion
         after = attempt.head.confidence
         if model != attempt.model and before is not None and after is not None:
@@ -111,7 +112,7 @@
     def record_first(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
     ) -> None:
-        """Learn from the time to a first event."""
+        """Record the time to the first event of a send, and learn from it."""
         took_s = self._clock.now() - attempt.sent_at
         if self._rollouts.is_canary(call.service, attempt.endpoint.row.version):
             return
@@ -123,7 +124,7 @@
             tokens = attempt.prompt.tokens
             pace.observe_model(service, attempt.model, tokens, ahead_share, took_s)
 
-    def _ask(self, call: gateway_call.Call) -> policy_api.ModelAsk:
+    def _query(self, call: gateway_call.Call) -> policy_api.ModelQuery:
         service = self._services().get(call.service)
         known = {m.name: m for m in service.models} if service else {}
         models = [
@@ -132,15 +133,15 @@
         now = self._clock.now()
         reserve = ESCALATION_RESERVE if mechanisms.ESCALATION_RESERVE.on else 0.0
         budget_left = int(self._budget.left(call.service, now) - reserve)
-        # Before the first send, that send itself is not a climb.
+        # Before the first send, that send itself is not an escalation.
         sends_left = call.sends_left if call.sends else call.sends_left - 1
         around = directory_rows.CandidateScope(self._hall, call.place, lambda e: True)
         usable = self._directory.usable(call.service, call.excluded, around)
         if not self._queue.is_empty(call.service) or call.sends and not usable:
-            # A climb would take the send that another request waits for, or drop an
-            # answer for one that nobody can make now.
+            # An escalation would use up the send that a queued request waits for, or
+            # drop an answer for one that no endpoint can produce now.
             sends_left = 0
-        return policy_api.ModelAsk(
+        return policy_api.ModelQuery(
             models,
             call.info.tokens_in,
             call.info.tokens_out,
@@ -159,7 +160,7 @@
         model: str,
         usable: list[endpoint_state.Endpoint],
     ) -> float:
-        """Give the seconds that a model's first event would take where it is least."""
+        """Return the expected time to a model's first event at the best endpoint."""
         weight = self._directory.pace.weight(service, model)
         hashes = prefix_cache.prefix_hashes(model, call.info.parts)
         tokens_in = call.info.tokens_in
--- a/gaprock/policy_admission.py
+++ b/gaprock/policy_admission.py
@@ -1,57 +1,59 @@
-"""Admission: what an agent runs, keeps waiting, or refuses.
-
-``Adaptive`` works in these steps:
-
-1. A ticket starts at once while fewer run than the limit and none waits.
-2. Otherwise it waits, unless its turn would come after its deadline.
-3. The next one is chosen by priority, then by the fair turn of its workspace,
-   then by deadline.
-4. A refused caller gets an appointment: the appointments follow each other at
-   the rate at which the endpoint finishes requests.
-5. The limit follows the measured time to the first part of streams.
+"""Admission control at an agent: which requests run, queue, or are refused.
+
+``Adaptive`` works as follows:
+
+1. A ticket starts at once while fewer tickets run than the limit allows and the queue
+   is empty.
+2. Otherwise it is queued, unless its turn would come after its deadline.
+3. The next ticket is chosen by priority, then by fair queueing over workspaces, then by
+   deadline.
+4. A refused caller is told when to retry. The retry times are spaced at the rate at
+   which the endpoint finishes requests.
+5. The limit adapts to the measured time to the first part of streams.
 """
 
 import typing
 
 from gaprock import plugin, policy_api, policy_limit, policy_turns
 
+# Weight of one run in the moving average of run times.
 SMOOTHING: typing.Final = 0.1
-# A wait is taken to be this much longer than estimated.
+# Safety factor on the estimated queueing time.
 WAIT_MARGIN: typing.Final = 2.5
-# Assumed seconds of a run before the first one has ended.
+# Assumed duration of a run until the first one has ended.
 FIRST_SERVICE_S: typing.Final = 0.05
 
 
 @plugin.register(policy_api.Admission, "adaptive")
 class Adaptive(policy_api.Admission):
-    """Bounded concurrency that follows latency, with a short fair queue."""
+    """An adaptive concurrency limit based on latency, with a short fair queue."""
 
     __slots__ = (
         "_max_queued",
         "_limit",
         "_running",
-        "_turns",
+        "_queue",
         "_evicted",
         "_service_s",
-        "_appointments",
+        "_retry_times",
     )
 
     def __init__(self, max_running: int, max_queued: int) -> None:
         self._max_queued = max_queued
         self._limit = policy_limit.Limit(max_running)
         self._running = 0
-        self._turns = policy_turns.Turns()
+        self._queue = policy_turns.FairQueue()
         self._evicted: list[policy_api.Ticket] = []
         self._service_s = 0.0
-        self._appointments = policy_turns.Appointments()
+        self._retry_times = policy_turns.RetryTimes()
 
     def offer(self, ticket: policy_api.Ticket, now: float) -> policy_api.Verdict:
         if ticket.deadline <= now:
             return policy_api.Verdict(reason="deadline", retry_at=self.retry_at(now))
-        if self._running < self.limit and not self._turns.count:
+        if self._running < self.limit and not self._queue.count:
             self._start(ticket)
             return policy_api.Verdict(start=True)
-        wait_s = (self._turns.ahead_of(ticket) + 1) * self._spacing_s * WAIT_MARGIN
+        wait_s = (self._queue.ahead_of(ticket) + 1) * self._spacing_s * WAIT_MARGIN
         if now + wait_s + self._limit.recent_s > ticket.deadline:
             return policy_api.Verdict(reason="too-late", retry_at=self.retry_at(now))
         return self._enqueue(ticket, now)
@@ -64,8 +66,9 @@
         if result.refused:
             self._limit.shrink()
         else:
-            # A run is as long as its slot was taken, from its start to now.
-            self._note_service(now - ticket.offered_at)
+            # ``offered_at`` is the start of the run, so this is how long it held its
+            # slot.
+            self._record_service_s(now - ticket.offered_at)
             if result.first_s >= 0:
                 self._limit.sample(result.first_s, saturated)
             elif saturated:
@@ -77,16 +80,16 @@
 
     def expired(self, now: float) -> list[policy_api.Ticket]:
         first_at = now + self._limit.recent_s
-        gone = self._evicted + self._turns.take_late(first_at, self._spacing_s)
+        gone = self._evicted + self._queue.remove_late(first_at, self._spacing_s)
         self._evicted = []
         return gone
 
     def drop(self, ticket: policy_api.Ticket) -> bool:
-        return self._turns.remove(ticket)
+        return self._queue.remove(ticket)
 
     def retry_at(self, now: float) -> float:
-        free_at = now + self._turns.count * self._spacing_s
-        return self._appointments.next(free_at, self._spacing_s, now)
+        free_at = now + self._queue.count * self._spacing_s
+        return self._retry_times.next(free_at, self._spacing_s, now)
 
     @property
     def running(self) -> int:
@@ -94,7 +97,7 @@
 
     @property
     def queued(self) -> int:
-        return self._turns.count
+        return self._queue.count
 
     @property
     def limit(self) -> int:
@@ -106,37 +109,37 @@
 
     @property
     def _spacing_s(self) -> float:
-        """Seconds between two ends of runs when the limit is used up."""
+        """Mean time between completed runs while the limit is reached."""
         return self.service_s / self.limit
 
     def _enqueue(self, ticket: policy_api.Ticket, now: float) -> policy_api.Verdict:
-        if self._turns.count >= self._max_queued:
-            last = self._turns.last_of_largest() if self._turns.count else ticket
+        if self._queue.count >= self._max_queued:
+            last = self._queue.last_of_largest() if self._queue.count else ticket
             if last.workspace == ticket.workspace:
                 return policy_api.Verdict(reason="queue", retry_at=self.retry_at(now))
-            self._turns.remove(last)
+            self._queue.remove(last)
             self._evicted.append(last)
-        self._turns.add(ticket)
+        self._queue.add(ticket)
         return policy_api.Verdict(queued=True)
 
     def _start(self, ticket: policy_api.Ticket) -> None:
         self._running += 1
-        self._turns.note_start(ticket)
+        self._queue.record_start(ticket)
 
     def _start_waiting(self, now: float) -> list[policy_api.Ticket]:
         started = []
-        while self._turns.count and self._running < self.limit:
-            ticket = self._turns.pop()
+        while self._queue.count and self._running < self.limit:
+            ticket = self._queue.pop()
             if ticket.deadline < now:
                 self._evicted.append(ticket)
                 continue
-            # From here on the ticket's time is the time of its run.
+            # From here on ``offered_at`` is the start of the run.
             ticket.offered_at = now
             self._start(ticket)
             started.append(ticket)
         return started
 
-    def _note_service(self, seconds: float) -> None:
+    def _record_service_s(self, seconds: float) -> None:
         if not self._service_s:
             self._service_s = seconds
         self._service_s += SMOOTHING * (seconds - self._service_s)
@@ -144,7 +147,7 @@
 
 @plugin.register(policy_api.Admission, "unlimited")
 class Unlimited(policy_api.Admission):
-    """Baseline: everything runs at once."""
+    """Baseline: every request starts at once."""
 
     __slots__ = ("_max_running", "_running", "_service_s")
 
--- a/gaprock/policy_api.py
+++ b/gaprock/policy_api.py
@@ -1,6 +1,7 @@
-"""The decisions, as plug-in kinds: admission, routing, cascade, guard, placement.
+"""Interfaces of the decision plug-ins.
 
-Each kind has plain baselines beside the one in use; a setting chooses.
+The kinds are admission, routing, model choice, cascade, guard and placement. Each kind
+has simple baselines beside the implementation in use; a setting selects one.
 """
 
 import random
@@ -10,7 +11,7 @@
 
 
 class Ticket:
-    """A request that asks an agent to run, as admission sees it."""
+    """A request to an agent, as admission control sees it."""
 
     __slots__ = ("attempt", "workspace", "share", "priority", "deadline", "offered_at")
 
@@ -25,21 +26,22 @@
     ) -> None:
         self.attempt = attempt
         self.workspace = workspace
-        # The workspace's weight among those that wait.
+        # The workspace's weight in the fair queue.
         self.share = share
-        # 0 goes first.
+        # Lower values run first; 0 is the highest priority.
         self.priority = priority
-        # The first part must be there by this time.
+        # The time by which the first part of the answer is due.
         self.deadline = deadline
         self.offered_at = offered_at
 
 
 class Verdict:
-    """What admission says of a ticket.
+    """The admission decision on a ticket.
 
-    :param start: run it now.
-    :param queued: keep it; it will come out of ``finished`` or ``expired``.
-    :param retry_at: for a refusal, when to come back.
+    :param start: whether to run the ticket now.
+    :param queued: whether the ticket was queued; ``finished`` or ``expired`` returns it
+        later.
+    :param retry_at: for a refusal, when the caller should retry.
     """
 
     __slots__ = ("start", "queued", "retry_at", "reason")
@@ -58,18 +60,18 @@
 
 
 class RunResult(typing.NamedTuple):
-    """What a run tells of its endpoint's load."""
+    """What a finished run shows about its endpoint's load."""
 
-    # Seconds from the call to a stream's first part; below 0 for no such time.
+    # Time from the call to the first part of a stream; negative if not measured.
     first_s: float
-    # The endpoint refused the call for its own load.
+    # Whether the endpoint refused the call because it was overloaded.
     refused: bool = False
 
 
 class Admission(plugin.Plugin):
-    """Decides at an agent what runs, waits, or is refused; one per endpoint.
+    """Decides at an agent which requests run, queue, or are refused.
 
-    Its caller holds a lock around each call.
+    There is one instance per endpoint. The caller must hold a lock around each call.
     """
 
     __slots__ = ()
@@ -82,47 +84,53 @@
         raise NotImplementedError
 
     def finished(self, ticket: Ticket, result: RunResult, now: float) -> list[Ticket]:
-        """Note the end of a run and give the tickets to start next."""
+        """Record the end of a run and return the tickets to start next."""
         raise NotImplementedError
 
     def hint(self, slots: int) -> None:
-        """Take what the endpoint says of how many requests it runs at once."""
+        """Apply the number of concurrent requests that the endpoint reports."""
 
     def expired(self, now: float) -> list[Ticket]:
-        """Take out the queued tickets that can no longer be in time."""
+        """Remove and return the queued tickets that can no longer meet their deadline.
+
+        Tickets that were evicted from a full queue are returned as well.
+        """
         raise NotImplementedError
 
     def drop(self, ticket: Ticket) -> bool:
-        """Take out a queued ticket whose caller went away."""
+        """Remove a queued ticket whose caller disconnected.
+
+        :returns: whether the ticket was queued.
+        """
         raise NotImplementedError
 
     def retry_at(self, now: float) -> float:
-        """Say when a refused caller should come back."""
+        """Return the time at which a refused caller should retry."""
         raise NotImplementedError
 
     @property
     def running(self) -> int:
-        """Tickets that run."""
+        """The number of running tickets."""
         raise NotImplementedError
 
     @property
     def queued(self) -> int:
-        """Tickets that wait."""
+        """The number of queued tickets."""
         raise NotImplementedError
 
     @property
     def limit(self) -> int:
-        """Tickets that may run at once."""
+        """The number of tickets that may run concurrently."""
         raise NotImplementedError
 
     @property
     def service_s(self) -> float:
-        """Mean seconds of one run."""
+        """The mean duration of a run."""
         raise NotImplementedError
 
 
 class Candidate:
-    """An endpoint that a request could go to, as an entry sees it."""
+    """An endpoint that a request could be sent to, as the sender sees it."""
 
     __slots__ = (
         "agent",
@@ -146,14 +154,14 @@
     ) -> None:
         self.agent = agent
         self.load = load
-        # Own requests sent there since the load was reported.
+        # Requests that this process sent there since the load was reported.
         self.sent_since = sent_since
         self.same_hall = same_hall
-        # Whether the endpoint likely holds the prompt's prefix.
+        # Whether the endpoint likely has the prompt's prefix in its cache.
         self.holds_prefix = holds_prefix
-        # Prompts ahead that are not read yet, in mean prompts.
+        # Prefill work that is outstanding there, in prompts of mean length.
         self.unread = unread
-        # Share of the prompt that the endpoint likely keeps.
+        # Share of the prompt that is likely in the endpoint's prefix cache.
         self.cached = cached
 
     @property
@@ -163,68 +171,69 @@
 
 
 class Routing(plugin.Plugin):
-    """Chooses the endpoint of a request."""
+    """Chooses the endpoint for a request."""
 
     __slots__ = ()
 
     def choose(
         self, candidates: list[Candidate], rng: random.Random
     ) -> Candidate | None:
-        """Choose one; ``None`` means "not mine"."""
+        """Choose a candidate; ``None`` if this policy doesn't choose one."""
         raise NotImplementedError
 
 
-class ModelAsk(typing.NamedTuple):
-    """What is known when the model of a request is chosen.
+class ModelQuery(typing.NamedTuple):
+    """What is known when the model for a request is chosen.
 
     :param models: the models that may answer, the smallest first.
-    :param tokens_in: length of the prompt.
-    :param tokens_out: the most that is made.
-    :param left_s: seconds left to the goal.
-    :param climbs_left: further sends that the request and the budget allow.
-    :param first_s: seconds that each model's first event would take now.
+    :param tokens_in: the length of the prompt.
+    :param tokens_out: the maximum length of the answer.
+    :param left_s: the time left until the request's latency goal.
+    :param escalations_left: how many more sends the request and the retry budget allow.
+    :param first_s: the expected time to the first event of each model now.
     """
 
     models: list[routes.ModelCost]
     tokens_in: int
     tokens_out: int
     left_s: float
-    climbs_left: int
+    escalations_left: int
     first_s: list[float]
 
 
 class ModelChoice(plugin.Plugin):
-    """Chooses the model of a request, and whether to ask another one after it.
+    """Chooses the model for a request, and whether to escalate to a larger one.
 
-    A model answers with its own opinion of the answer; the caller has nothing of the
-    answer yet when ``escalate`` is asked.
+    A model reports its confidence in its answer. When ``escalate`` is called, no part
+    of the answer has been sent to the caller yet.
     """
 
     __slots__ = ()
 
-    def first(self, ask: ModelAsk) -> str | None:
-        """Choose the model to ask; ``None`` means "not mine"."""
+    def first(self, query: ModelQuery) -> str | None:
+        """Choose the model to ask; ``None`` if this policy doesn't choose one."""
         raise NotImplementedError
 
     def escalate(
-        self, ask: ModelAsk, model: str, confidence: float | None
+        self, query: ModelQuery, model: str, confidence: float | None
     ) -> str | None:
-        """Choose a model to ask instead; ``None`` keeps the answer.
+        """Choose a model to escalate to; ``None`` keeps the answer.
 
-        :param confidence: the model's opinion of its answer, 0 to 100.
+        :param confidence: the model's confidence in its answer, 0 to 100; ``None`` if
+            it reported none.
         """
         raise NotImplementedError
 
     def learn(
         self, model: str, confidence: float, larger: str, larger_confidence: float
     ) -> None:
-        """Take what two models said of their answers to the same request."""
+        """Learn from two models' confidence in their answers to the same request."""
 
 
 class Choice(typing.NamedTuple):
     """The versions to try for a request, in order, with the reason.
 
-    A later one is tried only when an earlier answer's rating misses the target.
+    A later version is tried only if the answer of the one before it is not accepted.
     """
 
     versions: list[str]
@@ -232,67 +241,69 @@
 
 
 class Cascade(plugin.Plugin):
-    """Chooses the versions of a request and learns from ratings."""
+    """Chooses the versions to try for a request, and learns from ratings."""
 
     __slots__ = ()
 
     def choose(
         self, template: documents.Template, allowed: list[str], can_escalate: bool
     ) -> Choice | None:
-        """Order the versions to try.
+        """Return the versions to try, in order.
 
         :param allowed: versions that may run, from the cheapest to the safest.
-        :param can_escalate: false for streams, which choose once.
+        :param can_escalate: whether a further version may be tried; false for streams,
+            where only the first choice counts.
         """
         raise NotImplementedError
 
     def accept(
         self, template: documents.Template, version: str, rating: float | None
     ) -> bool:
-        """Whether an answer is good enough to be given.
+        """Whether an answer is good enough to be sent to the caller.
 
-        :param rating: ``None`` when the rating service gave none.
+        :param rating: the rating of the answer; ``None`` if the rating service returned
+            none.
         """
         raise NotImplementedError
 
     def learn(self, template: documents.Template, version: str, rating: float) -> None:
-        """Take the rating of an answer."""
+        """Learn from the rating of an answer."""
         raise NotImplementedError
 
 
 class Counts(typing.NamedTuple):
-    """Answers of a version that were judged, and those that were bad."""
+    """The number of judged answers of a version, and how many of them were bad."""
 
     answers: int
     bad: int
 
 
 class Guard(plugin.Plugin):
-    """Judges from evidence whether a version is worse than its stable one."""
+    """Judges from evidence whether a version is worse than the stable version."""
 
     __slots__ = ()
 
     def is_bad(self, version: str, seen: Counts, stable: Counts) -> bool:
-        """Whether the evidence shows that the version must stop.
+        """Whether the evidence shows that the version must be halted.
 
-        The caller asks again whenever the counts have grown.
+        Called again whenever the counts have grown.
 
-        :param version: names the version and its attempt.
+        :param version: identifies the version and the attempt to roll it out.
         :param seen: the version's counts since its rollout began.
-        :param stable: the counts of the version it replaces.
+        :param stable: the counts of the version that it replaces.
         """
         raise NotImplementedError
 
     def is_suspected(self, version: str) -> bool:
-        """Whether the evidence speaks against a version, but not enough to stop it.
+        """Whether the evidence is against a version, but too weak to halt it.
 
-        As of the last ``is_bad``.
+        The result is that of the last call of ``is_bad``.
         """
         return False
 
 
 class Move(typing.NamedTuple):
-    """An order that placement asks for."""
+    """A load or unload of a version at an endpoint, as placement plans it."""
 
     endpoint: str
     action: str
@@ -300,28 +311,31 @@
 
 
 class EndpointState(typing.NamedTuple):
-    """An endpoint as placement sees it."""
+    """The state of an endpoint, as placement sees it."""
 
     endpoint: str
     versions: frozenset[str]
-    # Versions that still fit.
+    # The number of further versions that fit in its memory.
     free: int
-    # Requests it can run at once.
+    # The number of requests that it can run concurrently.
     slots: int
 
 
 class Demand(typing.NamedTuple):
-    """Requests a second that a version is expected to get, by a time."""
+    """The request rate that a version is expected to get.
+
+    :param rate: requests per second.
+    """
 
     version: str
     rate: float
 
 
 class Placement(plugin.Plugin):
-    """Decides which versions stand on which endpoint."""
+    """Decides which versions are loaded on which endpoints."""
 
     __slots__ = ()
 
     def plan(self, endpoints: list[EndpointState], demands: list[Demand]) -> list[Move]:
-        """Give the orders that lead to a better placement, most urgent first."""
+        """Return the moves towards a better placement, the most urgent first."""
         raise NotImplementedError
--- a/gaprock/policy_cascade.py
+++ b/gaprock/policy_cascade.py
@@ -1,16 +1,17 @@
 """Cascades: which versions a request is tried on, learned from ratings.
 
-An answer is good when its rating reaches the template's ``quality``; the target
-is held when at most ``under_target`` of the answers are not good.  ``Learned``
-keeps, for each template and version, how many rated answers were good, and
-
-1. for a request that can climb, takes the order of versions with the least
-   expected cost: a cheap version first only where it saves more than it wastes,
-   counting how often there is a rating to accept it by;
-2. for a stream, which chooses once, takes the cheapest version of which it is
-   confident that it holds the target by itself, and tries one now and then while
-   that is open;
-3. without ratings, takes the safest version: nothing is assumed.
+An answer is good if its rating reaches the template's ``quality``. The target is met if
+at most ``under_target`` of the answers are not good. ``Learned`` counts, for each
+template and version, the rated answers and the good ones among them. It chooses as
+follows:
+
+1. For a request that can escalate, it takes the order of versions with the lowest
+   expected cost. A cheap version comes first only where that saves more than it wastes,
+   given how often a rating is available by which to accept its answer.
+2. For a stream, which cannot escalate, it takes the cheapest version that meets the
+   target by itself with enough confidence. While that is open for a version, it tries
+   the version on a small share of streams.
+3. Without ratings, it takes the safest version and assumes nothing about the others.
 """
 
 import itertools
@@ -21,22 +22,22 @@
 from gaprock import documents, plugin, policy_api
 
 # Width of the confidence bounds, in standard deviations.
-CONFIDENCE: typing.Final = 1.64
-# The same for ruling a version out: it is asked after every rating.
-RULED_OUT: typing.Final = 3.0
-# Ratings before a version counts as known.
+CONFIDENCE_SIGMAS: typing.Final = 1.64
+# The same for ruling a version out. Wider, since it is evaluated after every rating.
+RULE_OUT_SIGMAS: typing.Final = 3.0
+# Number of ratings from which a version counts as known.
 MIN_RATINGS: typing.Final = 20
-# Ratings are halved beyond this, so that a change of mix is learned.
+# Counts are halved above this number of ratings, to follow changes in the request mix.
 MAX_RATINGS: typing.Final = 2000
-# Share of choices that try a cheaper version to learn about it, or about whether
-# there are ratings again.
+# Share of choices that try a cheaper version, to learn about it or about whether
+# ratings are available again.
 EXPLORE_SHARE: typing.Final = 0.02
-# The same for streams while a cheaper version may yet prove to hold the target.
+# The same for streams, while a cheaper version may still prove to meet the target.
 EXPLORE_OPEN_SHARE: typing.Final = 0.05
-# Weight of one answer in the share of answers that get a rating.
-AVAILABLE_WEIGHT: typing.Final = 0.02
-# Longest order of versions that a request climbs.
-MAX_CLIMB: typing.Final = 3
+# Weight of one answer in the moving average of the share of answers that are rated.
+RATED_SHARE_WEIGHT: typing.Final = 0.02
+# Maximum number of versions in an order.
+MAX_ORDER: typing.Final = 3
 
 
 class Score:
@@ -49,7 +50,7 @@
         self.good = 0.0
 
     def add(self, good: bool) -> None:
-        """Count one rated answer."""
+        """Record a rated answer."""
         self.rated += 1
         self.good += good
         if self.rated > MAX_RATINGS:
@@ -58,11 +59,15 @@
 
     @property
     def mean(self) -> float:
-        """The estimated chance of a good answer."""
+        """The estimated probability of a good answer."""
         return (self.good + 1) / (self.rated + 2)
 
-    def bound(self, sign: int, width: float = CONFIDENCE) -> float:
-        """The Wilson bound of the chance, the lower one for -1."""
+    def bound(self, sign: int, width: float = CONFIDENCE_SIGMAS) -> float:
+        """Return a bound of the Wilson score interval of that probability.
+
+        :param sign: -1 for the lower bound, 1 for the upper one.
+        :param width: the width of the interval, in standard deviations.
+        """
         if not self.rated:
             return 0.0 if sign < 0 else 1.0
         n, p, z = self.rated, self.good / self.rated, width
@@ -73,14 +78,14 @@
 
 @plugin.register(policy_api.Cascade, "learned")
 class Learned(policy_api.Cascade):
-    """The least expected cost that holds the target, by confidence bounds."""
+    """Minimizes the expected cost within the target, by confidence bounds."""
 
-    __slots__ = ("_scores", "_rng", "_available")
+    __slots__ = ("_scores", "_rng", "_rated_share")
 
     def __init__(self) -> None:
         self._scores: dict[tuple[str, str, str], Score] = {}
-        # The share of answers that got a rating in time for a cascade.
-        self._available = 1.0
+        # The share of answers that are rated in time to decide on escalation.
+        self._rated_share = 1.0
         self._rng = random.Random(1)
 
     def choose(
@@ -89,17 +94,17 @@
         if not allowed:
             return None
         if can_escalate:
-            return self._climb(template, allowed)
-        return self._direct(template, allowed)
+            return self._cheapest_order(template, allowed)
+        return self._single_version(template, allowed)
 
     def accept(
         self, template: documents.Template, version: str, rating: float | None
     ) -> bool:
         seen = 0.0 if rating is None else 1.0
-        self._available += AVAILABLE_WEIGHT * (seen - self._available)
+        self._rated_share += RATED_SHARE_WEIGHT * (seen - self._rated_share)
         if rating is not None:
             return rating >= template.quality
-        return self._holds_target(template, version)
+        return self._meets_target(template, version)
 
     def learn(self, template: documents.Template, version: str, rating: float) -> None:
         key = (template.workspace, template.name, version)
@@ -110,30 +115,30 @@
         key = (template.workspace, template.name, version)
         return self._scores.get(key) or Score()
 
-    def _holds_target(self, template: documents.Template, version: str) -> bool:
+    def _meets_target(self, template: documents.Template, version: str) -> bool:
         score = self._score(template, version)
         bound = score.bound(-1)
         return score.rated >= MIN_RATINGS and bound >= 1 - template.under_target
 
-    def _direct(
+    def _single_version(
         self, template: documents.Template, allowed: list[str]
     ) -> policy_api.Choice:
         for version in allowed[:-1]:
-            if self._holds_target(template, version):
+            if self._meets_target(template, version):
                 return policy_api.Choice([version], "confident")
         for version in allowed[:-1]:
-            if self._may_hold_target(template, version):
+            if self._may_meet_target(template, version):
                 if self._rng.random() < EXPLORE_OPEN_SHARE:
                     return policy_api.Choice([version], "explore")
         return policy_api.Choice([allowed[-1]], "safest")
 
-    def _may_hold_target(self, template: documents.Template, version: str) -> bool:
-        """Whether more ratings could still show that a version holds the target."""
+    def _may_meet_target(self, template: documents.Template, version: str) -> bool:
+        """Whether more ratings could still show that a version meets the target."""
         score = self._score(template, version)
-        bound = score.bound(1, RULED_OUT)
+        bound = score.bound(1, RULE_OUT_SIGMAS)
         return score.rated < MIN_RATINGS or bound >= 1 - template.under_target
 
-    def _climb(
+    def _cheapest_order(
         self, template: documents.Template, allowed: list[str]
     ) -> policy_api.Choice:
         if len(allowed) > 1 and self._rng.random() < EXPLORE_SHARE:
@@ -147,9 +152,9 @@
         return policy_api.Choice(best, f"expected-cost-{best_cost:.3g}")
 
     def _orders(self, allowed: list[str]) -> typing.Iterator[list[str]]:
-        """Give each order from cheap to safe that ends with the safest."""
+        """Generate the orders from cheap to safe that end with the safest version."""
         cheaper = allowed[:-1]
-        for length in range(1, min(MAX_CLIMB, len(allowed))):
+        for length in range(1, min(MAX_ORDER, len(allowed))):
             for chosen in itertools.combinations(cheaper, length):
                 yield [*chosen, allowed[-1]]
 
@@ -160,18 +165,18 @@
         for version in order:
             cost += reached * costs[version]
             score = self._score(template, version)
-            # Unknown versions are given the benefit of the doubt: trying one
-            # costs little, since a poor answer is climbed over.
+            # Be optimistic about unknown versions: trying one costs little, since a
+            # poor answer only leads to an escalation.
             chance = score.mean if score.rated >= MIN_RATINGS else score.bound(1)
-            unrated = 1.0 if self._holds_target(template, version) else 0.0
-            accepted = self._available * chance + (1 - self._available) * unrated
+            unrated = 1.0 if self._meets_target(template, version) else 0.0
+            accepted = self._rated_share * chance + (1 - self._rated_share) * unrated
             reached *= 1 - accepted
         return cost
 
 
 @plugin.register(policy_api.Cascade, "always-best")
 class AlwaysBest(policy_api.Cascade):
-    """Baseline: the safest version."""
+    """Baseline: always the safest version."""
 
     __slots__ = ()
 
@@ -191,7 +196,7 @@
 
 @plugin.register(policy_api.Cascade, "always-cheapest")
 class AlwaysCheapest(AlwaysBest):
-    """Baseline: the cheapest version."""
+    """Baseline: always the cheapest version."""
 
     __slots__ = ()
 
@@ -203,7 +208,7 @@
 
 @plugin.register(policy_api.Cascade, "fixed")
 class Fixed(AlwaysBest):
-    """Baseline: each version from the cheapest on, until a rating is good."""
+    """Baseline: each version in turn from the cheapest, until a rating is good."""
 
     __slots__ = ()
 
--- a/gaprock/policy_limit.py
+++ b/gaprock/policy_limit.py
@@ -1,112 +1,119 @@
-"""How many requests may run at an endpoint at once."""
+"""The adaptive concurrency limit of an endpoint."""
 
 import typing
 
 INITIAL_LIMIT: typing.Final = 8.0
 MIN_LIMIT: typing.Final = 1.0
-# The limit shrinks when the first part takes this many times the usual.
+# The limit shrinks when the time to the first part is this many times the baseline.
 SLOW_FACTOR: typing.Final = 2.0
-# Differences below this are noise, seconds.
+# Smaller differences in the time to the first part are noise.
 NOISE_S: typing.Final = 0.01
-SHRINK: typing.Final = 0.8
-# Weight of one sample in the recent time to the first part.
+# Factor by which the limit shrinks.
+SHRINK_FACTOR: typing.Final = 0.8
+# Weight of one sample in the moving average of the time to the first part.
 RECENT_WEIGHT: typing.Final = 0.2
-# The limit's effect shows once the runs that began before it are over.
-SETTLING_RUNS: typing.Final = 2
-# Shrinking is judged from so many times in a row on.
-JUDGED_SHRINKS: typing.Final = 2
-# Shrinking has helped when the recent time fell below this share of the old one.
-HELPED: typing.Final = 0.9
-# The limit goes this far beyond what an endpoint says it runs at once.
+# Samples to wait after the limit changed, as a multiple of the limit: the effect shows
+# only after the runs that began before the change are over.
+SETTLING_FACTOR: typing.Final = 2
+# Whether shrinking helps is judged only after this many shrinks in a row.
+MIN_JUDGED_SHRINKS: typing.Final = 2
+# Shrinking helps if it lowers the recent time to below this share of the time before.
+HELPED_SHARE: typing.Final = 0.9
+# The limit may exceed the slots that an endpoint reports by this factor.
 HINT_FACTOR: typing.Final = 1.25
 
 
 class Limit:
-    """The number of requests that may run, moved by the time to the first part.
+    """A concurrency limit that adapts to the time to the first part.
 
-    A first part that takes much longer than usual means that the endpoint queues:
-    the limit shrinks.  If that does not help, the endpoint has become slow rather
-    than full: the limit comes back, and the longer time is the usual one from then on.
+    If the first part takes much longer than the baseline, the endpoint is queueing
+    requests and the limit shrinks. If that does not help, the endpoint has become slow
+    rather than full: the limit is restored, and the longer time is the new baseline.
     """
 
     __slots__ = (
-        "_cap",
-        "_most",
+        "_configured_max",
+        "_max",
         "_value",
         "_grows_fast",
-        "_usual_s",
+        "_baseline_s",
         "recent_s",
         "_samples",
-        "_before_s",
+        "_recent_at_shrink_s",
         "_shrinks",
     )
 
     def __init__(self, most: int) -> None:
-        self._cap = self._most = float(most)
-        self._value = min(INITIAL_LIMIT, self._most)
-        # Until the first sign of overload the limit grows by one a run.
+        self._configured_max = self._max = float(most)
+        self._value = min(INITIAL_LIMIT, self._max)
+        # Until the first sign of overload, the limit grows by one per run.
         self._grows_fast = True
-        self._usual_s = 0.0
-        # Smoothed seconds to the first part.
+        self._baseline_s = 0.0
+        # Moving average of the time to the first part.
         self.recent_s = 0.0
-        # Samples since the limit shrank last, and the recent time at that moment.
+        # Samples since the limit last shrank, and the moving average at that time.
         self._samples = 0
-        self._before_s = 0.0
-        # Times in a row that the limit shrank.
+        self._recent_at_shrink_s = 0.0
+        # How many times in a row the limit shrank.
         self._shrinks = 0
 
     @property
     def value(self) -> int:
-        """The limit."""
+        """The limit, rounded down."""
         return int(self._value)
 
     def hint(self, slots: int) -> None:
-        """Do not go far beyond what the endpoint says that it runs at once."""
+        """Cap the limit at a little more than the slots that the endpoint reports."""
         if slots <= 0:
             return
-        self._most = max(MIN_LIMIT, min(self._cap, slots * HINT_FACTOR))
+        self._max = max(MIN_LIMIT, min(self._configured_max, slots * HINT_FACTOR))
         if not self._samples:
-            # Nothing was measured yet: everyone may arrive in the first minute.
-            self._value = min(float(slots), self._most)
-        self._value = min(self._value, self._most)
+            # Nothing was measured yet. Start at the reported value, since all callers
+            # may arrive within the first minute.
+            self._value = min(float(slots), self._max)
+        self._value = min(self._value, self._max)
 
     def grow(self) -> None:
-        """Allow more after a run that used the limit up."""
+        """Raise the limit after a run during which it was reached."""
         step = 1.0 if self._grows_fast else 1.0 / self._value
-        self._value = min(self._value + step, self._most)
+        self._value = min(self._value + step, self._max)
 
     def shrink(self) -> None:
-        """Allow fewer."""
+        """Lower the limit and wait for the effect."""
         self._grows_fast = False
-        self._before_s = self.recent_s
+        self._recent_at_shrink_s = self.recent_s
         self._samples = 1
         self._shrinks += 1
-        self._value = max(MIN_LIMIT, self._value * SHRINK)
+        self._value = max(MIN_LIMIT, self._value * SHRINK_FACTOR)
 
     def sample(self, first_s: float, saturated: bool) -> None:
-        """Take one time to the first part."""
+        """Record a time to the first part, and adapt the limit.
+
+        :param saturated: whether the limit was reached during the run.
+        """
         self.recent_s += RECENT_WEIGHT * (first_s - self.recent_s)
         self._samples += 1
-        if not self._usual_s:
-            self._usual_s = self.recent_s = first_s
-        self._usual_s = min(first_s, self._usual_s)
-        if self.recent_s <= SLOW_FACTOR * self._usual_s + NOISE_S:
-            # Whatever comes next is a new overload.
+        if not self._baseline_s:
+            self._baseline_s = self.recent_s = first_s
+        self._baseline_s = min(first_s, self._baseline_s)
+        if self.recent_s <= SLOW_FACTOR * self._baseline_s + NOISE_S:
+            # The overload is over; the next one is judged afresh.
             self._shrinks = 0
             if saturated:
                 self.grow()
-        elif self._samples >= SETTLING_RUNS * self._value:
-            self._take_as_slow_or_full()
+        elif self._samples >= SETTLING_FACTOR * self._value:
+            self._shrink_or_restore()
 
-    def _take_as_slow_or_full(self) -> None:
-        """Shrink, or see that shrinking is in vain.
+    def _shrink_or_restore(self) -> None:
+        """Shrink the limit, or restore it if shrinking does not help.
 
-        The first time is not judged: it was taken while the load still changed.
+        The first shrink is not judged, since the load was still changing when its
+        effect was measured.
         """
-        in_vain = self.recent_s > HELPED * self._before_s
-        if self._shrinks < JUDGED_SHRINKS or not in_vain:
+        is_useless = self.recent_s > HELPED_SHARE * self._recent_at_shrink_s
+        if self._shrinks < MIN_JUDGED_SHRINKS or not is_useless:
             self.shrink()
             return
-        self._usual_s = self.recent_s
-        self._value = min(self._value / SHRINK**self._shrinks, self._most)
+        self._baseline_s = self.recent_s
+        self._value = min(self._value / SHRINK_FACTOR**self._shrinks, self._max)
         self._shrinks = 0
--- a/gaprock/policy_models.py
+++ b/gaprock/policy_models.py
@@ -1,86 +1,101 @@
-"""Model choice: which model answers, and when a larger one is asked instead.
+"""Model choice: which model is asked first, and when to escalate to a larger one.
 
-A small model is asked first and says how sure it is.  A doubtful answer is dropped
-before the caller has any of it, and a larger model is asked: the soonest of those that
-will likely be sure, by how much surer they were than the first one so far.
+A small model is asked first and reports its confidence in its answer. A doubtful answer
+is dropped before any of it is sent to the caller, and a larger model is asked: the one
+with the shortest expected time to the first event among those likely to be confident.
+That likelihood comes from how much more confident each larger model was than the
+smaller one so far.
 """
 
 import typing
 
 from gaprock import mechanisms, plugin, policy_api
 
-# Answers with less confidence than this are asked for again, 0 to 100: a model that is
-# as likely wrong as right says so much.
+# Answers with a lower confidence, on a scale of 0 to 100, are doubtful. A model that is
+# as likely to be wrong as right reports this value.
 DOUBTFUL: typing.Final = 50.0
-# How much surer a model in the middle is than a smaller one before any was compared,
-# and the comparisons that this counts for.
-FIRST_GAIN: typing.Final = 15.0
-FIRST_GAIN_WEIGHT: typing.Final = 5.0
-# Climbing shrinks from all of it to none between these shares of the time left that the
-# larger model's first event would take: second answers of the one make others late.
-CALM: typing.Final = 0.3
-STRAINED: typing.Final = 0.6
-# Time that another answer needs at least, seconds.
-CLIMB_S: typing.Final = 0.3
+# Prior for the gain in confidence of a middle model over a smaller one, and the number
+# of comparisons that the prior counts as.
+PRIOR_GAIN: typing.Final = 15.0
+PRIOR_GAIN_WEIGHT: typing.Final = 5.0
+# Escalation is reduced as the larger model's expected time to the first event rises
+# from the first to the second of these shares of the time left, where it ends: a second
+# answer for one request makes others late.
+REDUCE_FROM_SHARE: typing.Final = 0.3
+REDUCE_TO_SHARE: typing.Final = 0.6
+# There is no escalation with less time left than this.
+MIN_ESCALATION_S: typing.Final = 0.3
 
 
 @plugin.register(policy_api.ModelChoice, "confidence")
 class Confidence(policy_api.ModelChoice):
-    """The smallest model, then one that is likely sure while the answer is doubtful.
+    """Asks the smallest model first, and escalates while the answer is doubtful.
 
-    What counts as doubtful shrinks as the engines come under pressure: a second answer
-    to one request makes others late, which costs more than it gains.
+    The threshold for doubtful answers falls as the engines come under pressure: a
+    second answer for one request makes others late, which costs more than it gains.
     """
 
     __slots__ = ("_gains",)
 
     def __init__(self) -> None:
-        # Sum of the gains in confidence, and their count, by pair of models.
+        # Sum and number of the gains in confidence, by pair of models.
         self._gains: dict[tuple[str, str], tuple[float, float]] = {}
 
     def learn(
         self, model: str, confidence: float, larger: str, larger_confidence: float
     ) -> None:
-        # At the ends of the scale the gain is cut off.
+        # At the ends of the scale, the gain is truncated.
         if 0 < confidence and larger_confidence < 100:
             total, count = self._gain(model, larger)
             gain = larger_confidence - confidence
             self._gains[model, larger] = (total + gain, count + 1)
 
     def _gain(self, model: str, larger: str) -> tuple[float, float]:
-        first = (FIRST_GAIN * FIRST_GAIN_WEIGHT, FIRST_GAIN_WEIGHT)
+        first = (PRIOR_GAIN * PRIOR_GAIN_WEIGHT, PRIOR_GAIN_WEIGHT)
         return self._gains.get((model, larger), first)
 
-    def first(self, ask: policy_api.ModelAsk) -> str | None:
-        if not ask.models:
+    def first(self, query: policy_api.ModelQuery) -> str | None:
+        if not query.models:
             return None
-        if not ask.climbs_left:
-            return ask.models[-1].name
-        return ask.models[0].name
+        if not query.escalations_left:
+            return query.models[-1].name
+        return query.models[0].name
 
     def escalate(
-        self, ask: policy_api.ModelAsk, model: str, confidence: float | None
+        self, query: policy_api.ModelQuery, model: str, confidence: float | None
     ) -> str | None:
-        names = [m.name for m in ask.models]
+        names = [m.name for m in query.models]
         if confidence is None or confidence >= DOUBTFUL or model not in names:
             return None
-        if model == names[-1] or not ask.climbs_left or ask.left_s < CLIMB_S:
+        if (
+            model == names[-1]
+            or not query.escalations_left
+            or query.left_s < MIN_ESCALATION_S
+        ):
             return None
-        larger = self._likely_sure(ask, names, model, confidence)
-        first_s = ask.first_s[names.index(larger)]
-        relief = (first_s / ask.left_s - CALM) / (STRAINED - CALM)
+        larger = self._likely_confident(query, names, model, confidence)
+        first_s = query.first_s[names.index(larger)]
+        reduction = (first_s / query.left_s - REDUCE_FROM_SHARE) / (
+            REDUCE_TO_SHARE - REDUCE_FROM_SHARE
+        )
         if not mechanisms.STRAIN.on:
-            relief = 0.0
-        if confidence >= DOUBTFUL * (1.0 - min(1.0, max(0.0, relief))):
+            reduction = 0.0
+        if confidence >= DOUBTFUL * (1.0 - min(1.0, max(0.0, reduction))):
             return None
         return larger
 
-    def _likely_sure(
-        self, ask: policy_api.ModelAsk, names: list[str], model: str, confidence: float
+    def _likely_confident(
+        self,
+        query: policy_api.ModelQuery,
+        names: list[str],
+        model: str,
+        confidence: float,
     ) -> str:
-        """Give the soonest of the models above one that will likely be sure.
+        """Return the larger model to ask, among those likely to be confident.
 
-        A model that has the prompt already goes before a smaller one that has not.
+        That is the one with the shortest expected time to the first event. So a model
+        with the prompt in its cache may go before a smaller one without it. The largest
+        model always counts as likely to be confident.
         """
         likely = [names[-1]]
         if not mechanisms.MIDDLE_MODELS.on:
@@ -89,7 +104,7 @@
             total, count = self._gain(model, larger)
             if confidence + total / count >= DOUBTFUL:
                 likely.append(larger)
-        first_s = dict(zip(names, ask.first_s))
+        first_s = dict(zip(names, query.first_s))
         return min(likely, key=lambda name: (first_s[name], names.index(name)))
 
 
@@ -99,11 +114,11 @@
 
     __slots__ = ()
 
-    def first(self, ask: policy_api.ModelAsk) -> str | None:
-        return ask.models[-1].name if ask.models else None
+    def first(self, query: policy_api.ModelQuery) -> str | None:
+        return query.models[-1].name if query.models else None
 
     def escalate(
-        self, ask: policy_api.ModelAsk, model: str, confidence: float | None
+        self, query: policy_api.ModelQuery, model: str, confidence: float | None
     ) -> str | None:
         return None
 
@@ -114,10 +129,10 @@
 
     __slots__ = ()
 
-    def first(self, ask: policy_api.ModelAsk) -> str | None:
-        return ask.models[0].name if ask.models else None
+    def first(self, query: policy_api.ModelQuery) -> str | None:
+        return query.models[0].name if query.models else None
 
     def escalate(
-        self, ask: policy_api.ModelAsk, model: str, confidence: float | None
+        self, query: policy_api.ModelQuery, model: str, confidence: float | None
     ) -> str | None:
         return None
--- a/gaprock/policy_routing.py
+++ b/gaprock/policy_routing.py
@@ -1,7 +1,7 @@
 """Routing: which endpoint gets a request.
 
-Load reports lag, so an endpoint's load is estimated as what was reported plus
-what this entry has sent there since.
+Load reports lag behind, so an endpoint's load is estimated as the reported load plus
+the requests that this process has sent there since.
 """
 
 import random
@@ -9,25 +9,28 @@
 
 from gaprock import mechanisms, plugin, policy_api
 
-# An endpoint that likely holds the prompt's prefix may be this much more loaded.
+# The expected wait at an endpoint that likely has the prompt's prefix in its cache may
+# be longer by this factor.
 PREFIX_TOLERANCE: typing.Final = 1.25
+# Lower bound of the mean run time in estimates.
 MIN_SERVICE_S: typing.Final = 0.001
-# An endpoint in another hall is used when the own hall's are this much fuller: bytes
-# between halls are priced, and they take longer.
+# An endpoint in another hall is used if those of the local hall are fuller by this
+# much: traffic between halls costs money and takes longer.
 HALL_FILL: typing.Final = 0.5
-# A prompt of mean length that is not read yet holds up all that runs beside it; it
-# counts as this much of an endpoint's slots.
+# A prompt of mean length that awaits prefill delays all requests that run beside it. It
+# counts as this share of an endpoint's slots.
 UNREAD_FILL: typing.Final = 0.15
-# An endpoint that holds the prompt's prefix may be this much fuller.
+# An endpoint that likely has the prompt's prefix in its cache may be fuller by this
+# much.
 PREFIX_FILL: typing.Final = 0.1
-# Endpoints that are drawn and compared.
-FEW: typing.Final = 2
-# An endpoint that keeps so much of the prompt is compared as well.
-KEPT_SHARE: typing.Final = 0.25
+# Number of random endpoints that are compared.
+SAMPLE_SIZE: typing.Final = 2
+# An endpoint whose cache has at least this share of the prompt is compared as well.
+CACHED_SHARE: typing.Final = 0.25
 
 
 def expected_wait(candidate: policy_api.Candidate) -> float:
-    """Estimate the seconds until a new request there would be done."""
+    """Estimate the time until a new request would be finished there, in seconds."""
     load = candidate.load
     ahead = load.running + load.queued + candidate.sent_since + 1
     rounds = ahead / max(1, load.limit)
@@ -35,7 +38,7 @@
 
 
 def expected_fill(candidate: policy_api.Candidate) -> float:
-    """Estimate the requests there for each one that may run."""
+    """Estimate the number of requests there per slot."""
     load = candidate.load
     ahead = load.running + load.queued + candidate.sent_since
     return ahead / max(1, load.limit)
@@ -43,9 +46,9 @@
 
 @plugin.register(policy_api.Routing, "two-choices")
 class TwoChoices(policy_api.Routing):
-    """The better of two random endpoints, the own hall's first.
+    """The better of two random endpoints, preferably in the local hall.
 
-    Two random ones rather than the best of all: entries that see the same lagging
+    Two random endpoints are compared rather than all: entries that see the same stale
     reports would otherwise all send to the same endpoint.
     """
 
@@ -56,8 +59,8 @@
     ) -> policy_api.Candidate | None:
         if not candidates:
             return None
-        near = [c for c in candidates if c.same_hall and expected_fill(c) < 1.0]
-        pool = near or candidates
+        local = [c for c in candidates if c.same_hall and expected_fill(c) < 1.0]
+        pool = local or candidates
         pair = rng.sample(pool, min(2, len(pool)))
         best = min(pair, key=lambda c: (expected_wait(c), expected_fill(c)))
         return self._prefer_prefix(best, pool)
@@ -65,7 +68,7 @@
     def _prefer_prefix(
         self, best: policy_api.Candidate, pool: list[policy_api.Candidate]
     ) -> policy_api.Candidate:
-        """Prefer a holder of the prompt's prefix while it is not hot."""
+        """Prefer an endpoint that has the prompt's prefix cached, unless it is busy."""
         bound = expected_wait(best) * PREFIX_TOLERANCE
         for candidate in pool:
             if candidate.holds_prefix and expected_wait(candidate) <= bound:
@@ -75,10 +78,10 @@
 
 @plugin.register(policy_api.Routing, "least-filled")
 class LeastFilled(policy_api.Routing):
-    """The emptiest endpoint, where the own hall and a kept prefix count as room.
+    """The least filled endpoint, with a bonus for the local hall and a cached prefix.
 
-    For gateways, which tell each other their loads several times a second, so that
-    the best of all is better than the better of two.
+    For gateways, which exchange their loads several times a second. With such fresh
+    loads, the best of all endpoints is better than the better of two.
     """
 
     __slots__ = ()
@@ -103,12 +106,13 @@
 
 @plugin.register(policy_api.Routing, "better-of-few")
 class BetterOfFew(LeastFilled):
-    """The emptiest of a few random endpoints of the hall, and what keeps the prompt.
+    """The least filled among a few random endpoints of the hall and the cache holders.
 
-    What others send is known a beat later, so an endpoint that was just relieved, or is
-    new, is the emptiest of all for every gateway at once; a few drawn ones go where the
-    room is without the whole fleet going to one endpoint.  Not the default: where a
-    hall has few endpoints, a drawn one is often the wrong one.
+    What other gateways send is known only one heartbeat later. An endpoint that is new
+    or has just become free is therefore the least filled for all gateways at once. With
+    a random sample, gateways use free capacity without all of them choosing the same
+    endpoint. This is not the default: in a hall with few endpoints, a sampled endpoint
+    is often the wrong one.
     """
 
     __slots__ = ()
@@ -116,19 +120,19 @@
     def choose(
         self, candidates: list[policy_api.Candidate], rng: random.Random
     ) -> policy_api.Candidate | None:
-        near = [c for c in candidates if c.same_hall]
-        few = rng.sample(near, min(FEW, len(near)))
-        few += [c for c in near if c.cached >= KEPT_SHARE]
-        best = super().choose(few, rng)
+        local = [c for c in candidates if c.same_hall]
+        sampled = rng.sample(local, min(SAMPLE_SIZE, len(local)))
+        sampled += [c for c in local if c.cached >= CACHED_SHARE]
+        best = super().choose(sampled, rng)
         if best is None or self._cost(best) >= HALL_FILL:
-            # An empty one in another hall would be better.
+            # An empty endpoint in another hall would be at least as good.
             return super().choose(candidates, rng)
         return best
 
 
 @plugin.register(policy_api.Routing, "random")
 class Random(policy_api.Routing):
-    """Baseline: any live endpoint."""
+    """Baseline: a random live endpoint."""
 
     __slots__ = ()
 
@@ -140,7 +144,7 @@
 
 @plugin.register(policy_api.Routing, "least-reported")
 class LeastReported(policy_api.Routing):
-    """Baseline: the least load as the endpoints reported it."""
+    """Baseline: the endpoint with the lowest reported load."""
 
     __slots__ = ()
 
--- a/gaprock/policy_turns.py
+++ b/gaprock/policy_turns.py
@@ -1,22 +1,23 @@
-"""Who waits at an endpoint, whose turn it is, and when the refused come back."""
+"""The fair queue of an endpoint, and the retry times of refused callers."""
 
 import bisect
 import typing
 
 from gaprock import policy_api
 
-# How much an older start counts against the next one.
-START_MEMORY: typing.Final = 0.98
-# A workspace that waits alone is taken to get at least this part of the starts.
+# Weight of earlier starts relative to the next one.
+START_DECAY: typing.Final = 0.98
+# A workspace that is alone in the queue is expected to get at least this share of the
+# starts.
 ALONE_SHARE: typing.Final = 0.5
-# Appointments are not given further ahead than this, seconds.
-MAX_AHEAD_S: typing.Final = 30.0
-# A refused caller is not asked back sooner than this, seconds.
-MIN_AHEAD_S: typing.Final = 0.05
+# Longest time after which a refused caller is asked to retry.
+MAX_RETRY_S: typing.Final = 30.0
+# Shortest time after which a refused caller is asked to retry.
+MIN_RETRY_S: typing.Final = 0.05
 
 
-class Appointments:
-    """Gives refused callers the times to come back, spread at a given rate."""
+class RetryTimes:
+    """Assigns retry times to refused callers, spaced at a given interval."""
 
     __slots__ = ("_next_at",)
 
@@ -24,63 +25,64 @@
         self._next_at = 0.0
 
     def next(self, free_at: float, spacing_s: float, now: float) -> float:
-        """Give the next time.
+        """Return the next retry time.
 
-        :param free_at: when what waits already will have been served.
-        :param spacing_s: seconds that the endpoint needs for one request.
+        :param free_at: when the endpoint will have served the requests queued now.
+        :param spacing_s: the time that the endpoint needs per request.
         """
-        earliest = max(free_at, now + MIN_AHEAD_S)
+        earliest = max(free_at, now + MIN_RETRY_S)
         self._next_at = max(self._next_at + spacing_s, earliest)
-        self._next_at = min(self._next_at, now + MAX_AHEAD_S)
+        self._next_at = min(self._next_at, now + MAX_RETRY_S)
         return self._next_at
 
 
-class Turns:
-    """The tickets that wait, in fair turns over workspaces."""
+class FairQueue:
+    """A weighted fair queue of tickets, with one queue per workspace."""
 
-    __slots__ = ("_queues", "_served", "_floor", "_starts", "count")
+    __slots__ = ("_queues", "_served", "_virtual_time", "_recent_starts", "count")
 
     def __init__(self) -> None:
         self._queues: dict[str, list[policy_api.Ticket]] = {}
-        # Work given to each workspace over its share; the least goes first.
+        # Starts of each workspace divided by its share, as a virtual time. The
+        # workspace with the smallest value is next.
         self._served: dict[str, float] = {}
-        self._floor = 0.0
-        # Starts of each workspace, the older ones counting less.
-        self._starts: dict[str, float] = {}
+        self._virtual_time = 0.0
+        # Starts of each workspace; older ones count less.
+        self._recent_starts: dict[str, float] = {}
         self.count = 0
 
     def add(self, ticket: policy_api.Ticket) -> None:
-        """Put a ticket in its workspace's queue."""
+        """Add a ticket to its workspace's queue."""
         queue = self._queues.setdefault(ticket.workspace, [])
         if not queue:
-            # A workspace that was idle does not save up turns.
+            # A workspace earns no credit while it is idle.
             served = self._served.get(ticket.workspace, 0.0)
-            self._served[ticket.workspace] = max(served, self._floor)
+            self._served[ticket.workspace] = max(served, self._virtual_time)
         bisect.insort(queue, ticket, key=_order)
         self.count += 1
 
-    def note_start(self, ticket: policy_api.Ticket) -> None:
+    def record_start(self, ticket: policy_api.Ticket) -> None:
         """Count a started ticket against its workspace's share."""
-        served = max(self._served.get(ticket.workspace, 0.0), self._floor)
+        served = max(self._served.get(ticket.workspace, 0.0), self._virtual_time)
         self._served[ticket.workspace] = served + 1.0 / ticket.share
-        for workspace in self._starts:
-            self._starts[workspace] *= START_MEMORY
-        old = self._starts.get(ticket.workspace, 0.0)
-        self._starts[ticket.workspace] = old + 1.0
+        for workspace in self._recent_starts:
+            self._recent_starts[workspace] *= START_DECAY
+        old = self._recent_starts.get(ticket.workspace, 0.0)
+        self._recent_starts[ticket.workspace] = old + 1.0
 
     def pop(self) -> policy_api.Ticket:
-        """Take the ticket whose turn it is; there must be one."""
+        """Remove and return the next ticket; the queue must not be empty."""
         waiting = [w for w, queue in self._queues.items() if queue]
         chosen = min(
             waiting, key=lambda w: (self._queues[w][0].priority, self._served[w])
         )
-        self._floor = max(self._floor, self._served[chosen])
+        self._virtual_time = max(self._virtual_time, self._served[chosen])
         ticket = self._queues[chosen].pop(0)
         self._removed(chosen)
         return ticket
 
     def remove(self, ticket: policy_api.Ticket) -> bool:
-        """Take out one ticket."""
+        """Remove a ticket; return whether it was queued."""
         queue = self._queues.get(ticket.workspace, [])
         if ticket not in queue:
             return False
@@ -88,11 +90,11 @@
         self._removed(ticket.workspace)
         return True
 
-    def take_late(self, now: float, spacing_s: float) -> list[policy_api.Ticket]:
-        """Take out the tickets whose turn will come after their deadline.
+    def remove_late(self, now: float, spacing_s: float) -> list[policy_api.Ticket]:
+        """Remove and return the tickets whose turn will come after their deadline.
 
-        :param now: when a run that begins now has its first part.
-        :param spacing_s: seconds between two starts.
+        :param now: when the first part of a run that starts now is due.
+        :param spacing_s: the time between two starts.
         """
         late: list[policy_api.Ticket] = []
         for queue in list(self._queues.values()):
@@ -108,30 +110,31 @@
         return late
 
     def ahead_of(self, ticket: policy_api.Ticket) -> float:
-        """Estimate the starts that come before a ticket, were it added now."""
+        """Estimate how many starts would precede a ticket that is added now."""
         queue = self._queues.get(ticket.workspace, [])
         own = bisect.bisect_right(queue, _order(ticket), key=_order)
         return own / self._share_of(ticket)
 
     def last_of_largest(self) -> policy_api.Ticket:
-        """Give the last ticket of the workspace that waits most for its share."""
+        """Return the last ticket of the workspace that queues most for its share."""
         queue = max(
             self._queues.values(), key=lambda q: len(q) / q[0].share if q else 0
         )
         return queue[-1]
 
     def _share_of(self, ticket: policy_api.Ticket) -> float:
-        """Estimate the part of the starts that a workspace gets.
+        """Estimate the share of the starts that a ticket's workspace gets.
 
-        That is its fair part among those that wait, or what it got lately if the
-        others leave more.  One that waits alone is given at least half: the others
-        may come back for their part.
+        That is its fair share among the queued workspaces, or its share of recent
+        starts if that is larger because the others use less than theirs. A workspace
+        that is alone in the queue is credited with at least half: the others may return
+        and claim theirs.
         """
         shares = {w: queue[0].share for w, queue in self._queues.items()}
         shares[ticket.workspace] = ticket.share
         fair = ticket.share / sum(shares.values()) if len(shares) > 1 else ALONE_SHARE
-        total = sum(self._starts.values())
-        got = self._starts.get(ticket.workspace, 0.0) / total if total else 1.0
+        total = sum(self._recent_starts.values())
+        got = self._recent_starts.get(ticket.workspace, 0.0) / total if total else 1.0
         return max(fair, got)
 
     def _removed(self, workspace: str) -> None:
--- a/gaprock/prefix_cache.py
+++ b/gaprock/prefix_cache.py
@@ -1,8 +1,10 @@
-"""Which parts of prompts an endpoint likely still keeps, so that it need not read them.
+"""Estimates which prompt prefixes are in an endpoint's prefix cache.
 
-An engine keeps the parts that it has read, for each model apart, until newer ones need
-the room; a part is of use only behind all the parts before it.  What was sent there
-tells what it keeps: own sends at once, those of other gateways with their beats.
+An engine caches the prompt parts that it has read, separately for each model, until
+newer parts need the space. It need not read cached parts again. A cached part is usable
+only together with all the parts before it. The content of a cache is inferred from the
+requests sent to the endpoint: this gateway's own are known at once, those of other
+gateways from their heartbeats.
 """
 
 import collections
@@ -11,15 +13,15 @@
 
 from gaprock import mechanisms
 
-# Parts that one process remembers of an endpoint, whatever their tokens.
-MAX_MARKS: typing.Final = 4096
+# Maximum number of parts that a gateway tracks per endpoint, whatever their tokens.
+MAX_HASHES: typing.Final = 4096
 
 
 class PrefixHash(typing.NamedTuple):
-    """A part of a prompt behind all the parts before it, for one model.
+    """The hash of a prompt prefix for one model.
 
-    :param key: a hash of the model and of the parts up to this one.
-    :param tokens: the part's own length.
+    :param key: a hash of the model and of all parts of the prefix.
+    :param tokens: the length of the prefix's last part.
     """
 
     key: int
@@ -39,34 +41,38 @@
 
 
 class PrefixCache:
-    """What one endpoint likely keeps; not safe for threads by itself."""
+    """The estimated prefix cache of one endpoint; not thread-safe."""
 
-    __slots__ = ("_tokens", "_sum")
+    __slots__ = ("_tokens", "_total_tokens")
 
     def __init__(self) -> None:
-        # Tokens by key, the least lately used first.
+        # Tokens by key, the least recently used first.
         self._tokens: collections.OrderedDict[int, int] = collections.OrderedDict()
-        self._sum = 0
+        self._total_tokens = 0
 
     def cached(self, hashes: list[PrefixHash]) -> int:
-        """Give the tokens of a prompt that need not be read."""
+        """Return the number of tokens of a prompt that are in the cache."""
         cached = 0
-        for mark in hashes:
-            if mark.key not in self._tokens:
+        for hash_ in hashes:
+            if hash_.key not in self._tokens:
                 break
-            cached += mark.tokens
+            cached += hash_.tokens
         return cached
 
     def use(self, hashes: list[PrefixHash], room: int) -> None:
-        """Note a prompt that is read there.
+        """Record that the endpoint has read a prompt.
 
-        :param room: tokens that the endpoint can keep; older parts give way.
+        :param room: the capacity of the cache in tokens; the least recently used parts
+            are evicted when it is exceeded.
         """
-        # A part is never kept without those before it, so the first one is the newest.
-        for mark in reversed(hashes):
-            self._sum += mark.tokens - self._tokens.get(mark.key, 0)
-            self._tokens[mark.key] = mark.tokens
-            self._tokens.move_to_end(mark.key)
-        while self._tokens and (self._sum > room or len(self._tokens) > MAX_MARKS):
+        # In reverse, so that the first part is the most recently used one: a part is
+        # then never kept longer than the parts before it.
+        for hash_ in reversed(hashes):
+            self._total_tokens += hash_.tokens - self._tokens.get(hash_.key, 0)
+            self._tokens[hash_.key] = hash_.tokens
+            self._tokens.move_to_end(hash_.key)
+        while self._tokens and (
+            self._total_tokens > room or len(self._tokens) > MAX_HASHES
+        ):
             _, tokens = self._tokens.popitem(last=False)
-            self._sum -= tokens
+            self._total_tokens -= tokens
--- a/gaprock/retry_after.py
+++ b/gaprock/retry_after.py
@@ -1,21 +1,23 @@
-"""Reads ``Retry-After``: seconds or a date."""
+"""Parses ``Retry-After`` headers: a number of seconds or a date."""
 
 import datetime
 import email.utils
 import re
 import typing
 
-# Plain decimal digits, no longer than any number that means something.
+# Plain decimal digits, long enough for any meaningful number.
 NUMBER: typing.Final = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?\Z")
-# An HTTP date is no longer, characters.
+# Maximum length of an HTTP date in characters.
 MAX_DATE: typing.Final = 40
 
 
 def seconds(text: str, date: str = "") -> float | None:
-    """Read a time to wait.
+    """Parse a delay.
 
-    :param date: the answer's own date, by the same clock as the one to wait for.
-    :returns: seconds; ``None`` for what is neither a number nor a date.
+    :param text: the value of the header.
+    :param date: the ``Date`` header of the answer, from the same clock as a date in
+        ``text``. If it is missing, the local clock is used.
+    :returns: the delay in seconds; ``None`` if ``text`` is neither a number nor a date.
     """
     text = text.strip()
     if NUMBER.match(text):
@@ -33,6 +35,6 @@
     try:
         date = email.utils.parsedate_to_datetime(text)
     except ValueError:
-        # No date; the caller reports what it is.
+        # Not a date; the caller reports the value.
         return None
     return date if date.tzinfo is not None else None
--- a/gaprock/test/testpaced.py
+++ b/gaprock/test/testpaced.py
@@ -1,4 +1,4 @@
-"""Services of which all endpoints take fewer requests a second than come."""
+"""Services whose endpoints all accept fewer requests per second than arrive."""
 
 import threading
 
@@ -8,10 +8,10 @@
 from gaprock import clock, errorcodes, paced_queue, rate_pacing
 from gaprock.test import callcase, gatewaysite, limitcase
 
-# -- The line --
+# -- The queue --
 
 
-def test_the_most_urgent_goes_first_and_then_who_came_first() -> None:
+def test_requests_are_queued_by_urgency_and_then_by_arrival() -> None:
     line = paced_queue.PacedQueue()
     turn = rate_pacing.Turn(100.0, 2.0)
     calls = [callcase.call(5), callcase.call(1), callcase.call(5), callcase.call(1)]
@@ -23,7 +23,7 @@
     assert line.is_first(calls[3], places[3])
 
 
-def test_services_have_lines_of_their_own() -> None:
+def test_services_have_separate_queues() -> None:
     line = paced_queue.PacedQueue()
     one, other = callcase.call(1, "a"), callcase.call(5, "b")
     line.enter(one)
@@ -34,7 +34,7 @@
 
 
 @hypothesis.given(st.lists(st.integers(0, 9), max_size=20))
-def test_the_line_is_in_order_and_ends_empty(urgencies: list[int]) -> None:
+def test_the_queue_is_in_order_and_ends_empty(urgencies: list[int]) -> None:
     line = paced_queue.PacedQueue()
     waiting = [(one, line.enter(one)) for one in map(callcase.call, urgencies)]
     served = []
@@ -48,7 +48,7 @@
     assert line.is_empty(callcase.SERVICE)
 
 
-def test_refused_callers_come_back_at_the_pace_of_sends() -> None:
+def test_retries_are_spaced_at_the_rate_of_sends() -> None:
     line = paced_queue.PacedQueue()
     turn = rate_pacing.Turn(100.5, 4.0)
     waits = [line.retry_after_s(callcase.call(1), turn, 100.0, 20.0) for _ in range(4)]
@@ -56,18 +56,18 @@
     assert steps == [0.25, 0.25, 0.25]
 
 
-def test_endpoints_that_take_nothing_at_all_let_nobody_wait() -> None:
+def test_no_send_is_expected_at_a_rate_of_zero() -> None:
     line = paced_queue.PacedQueue()
     one = callcase.call(1)
     place = line.enter(one)
     assert line.sent_at(one, place, rate_pacing.Turn(clock.NEVER, 0.0)) == clock.NEVER
 
 
-# -- The whole path --
+# -- The whole gateway --
 
 
-def test_what_is_more_than_all_endpoints_take_is_refused_as_not_run() -> None:
-    """Three endpoints that take 2 a second each, and callers who ask all the time."""
+def test_requests_above_the_rate_limits_are_refused_as_not_run() -> None:
+    """Three endpoints accept 2 requests a second each, and callers send constantly."""
     with limitcase.Fleet(1, "safe") as fleet:
         for one in fleet.endpoints:
             one.limit = "2"
@@ -91,8 +91,8 @@
         assert any(code in answer.body for answer in refused)
 
 
-def test_a_service_with_room_elsewhere_refuses_nothing() -> None:
-    """Two of three endpoints take next to nothing; the third one takes all."""
+def test_nothing_is_refused_while_one_endpoint_has_no_rate_limit() -> None:
+    """Two of three endpoints accept almost nothing; the third one accepts all."""
     with limitcase.Fleet(1, "safe") as fleet:
         for one in fleet.endpoints[:2]:
             one.limit = "0"
--- a/gaprock/test/testplacing.py
+++ b/gaprock/test/testplacing.py
@@ -1,4 +1,4 @@
-"""Loads played by the product's own choosers, and what callers get."""
+"""Simulated load that is placed by the product's own choosers."""
 
 import typing
 
@@ -24,7 +24,7 @@
     return placing.by_group(outcomes)
 
 
-def test_the_same_callers_come_and_all_have_an_end(
+def test_switching_strain_off_leaves_the_callers_the_same(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sizes = []
@@ -38,9 +38,9 @@
 @pytest.mark.parametrize(
     ("name", "load", "group", "without", "with_it"),
     [
-        # Where a prompt holds up many, the others are served.
+        # Where one prompt delays many requests, the others are served.
         ("slow", 2.0, "all", 0.559, 0.732),
-        # Where engines have room it costs the largest prompts something.
+        # Where engines have free slots, it costs the largest prompts something.
         ("quick", 1.0, "cluster, largest tenth", 0.977, 0.891),
     ],
 )
@@ -52,7 +52,7 @@
     with_it: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The shares that are answered well in time, without strain and with it."""
+    """Checks the share of good answers in time, without strain and with it."""
     assert play(name, load)[group].in_time == pytest.approx(with_it, abs=0.001)
     monkeypatch.setattr(mechanisms.STRAIN, "on", False)
     assert play(name, load)[group].in_time == pytest.approx(without, abs=0.001)
--- a/gaprock/test/testpolicies.py
+++ b/gaprock/test/testpolicies.py
@@ -1,4 +1,4 @@
-"""The decisions, each by itself."""
+"""Unit tests of the decision plug-ins and their helpers."""
 
 import random
 import typing
@@ -39,7 +39,7 @@
 
 
 def busy(limit: int = 1, queued: int = 100) -> policy_admission.Adaptive:
-    """Give an admission that runs all it may."""
+    """Return an admission whose limit is reached."""
     admission = policy_admission.Adaptive(limit, queued)
     for _ in range(limit):
         assert admission.offer(ticket_of("other"), NOW).start
@@ -106,7 +106,7 @@
     assert "small" in order[:2]
 
 
-def test_a_full_queue_gives_way_to_a_workspace_below_its_share() -> None:
+def test_a_full_queue_evicts_a_ticket_of_the_largest_workspace() -> None:
     admission = busy(queued=3)
     large = [ticket_of("large") for _ in range(3)]
     for ticket in large:
@@ -130,7 +130,7 @@
     assert order == [urgent, soon, late]
 
 
-def test_what_cannot_be_in_time_is_refused_at_once() -> None:
+def test_a_ticket_that_cannot_meet_its_deadline_is_refused_at_once() -> None:
     admission = busy()
     setattr(admission, "_service_s", 2.0)
     assert admission.offer(ticket_of(deadline=NOW + 6), NOW).queued
@@ -138,7 +138,7 @@
     assert not verdict.queued and verdict.reason == "too-late"
 
 
-def test_refused_callers_come_back_spread_at_the_rate_of_service() -> None:
+def test_retry_times_are_spaced_at_the_service_rate() -> None:
     admission = busy(limit=4)
     setattr(admission, "_service_s", 0.4)
     times = [admission.retry_at(NOW) for _ in range(50)]
@@ -147,7 +147,7 @@
 
 
 class Engine:
-    """An endpoint whose first part takes longer the more it is given at once."""
+    """An endpoint whose time to the first part grows once its slots are exceeded."""
 
     def __init__(self, slots: int, first_s: float) -> None:
         self.slots, self.first_s = slots, first_s
@@ -156,7 +156,7 @@
         self._running: list[policy_api.Ticket] = []
 
     def work(self, runs: int) -> None:
-        """Keep it as full as admission allows for so many runs."""
+        """Keep the endpoint as full as admission allows, for a number of runs."""
         for _ in range(runs):
             while self.admission.running < self.admission.limit:
                 self._running.append(ticket_of(deadline=self.now + 100))
@@ -167,7 +167,7 @@
             self.admission.finished(self._running.pop(0), result, self.now)
 
 
-def test_the_limit_finds_what_an_endpoint_can_run_at_once() -> None:
+def test_the_limit_converges_to_the_slots_of_an_endpoint() -> None:
     engine = Engine(slots=12, first_s=0.2)
     engine.work(600)
     assert 9 <= engine.admission.limit <= 30
@@ -190,7 +190,7 @@
     assert engine.admission.limit < before * 0.7
 
 
-def test_the_limit_goes_little_beyond_what_the_endpoint_says() -> None:
+def test_the_limit_stays_close_to_the_reported_slots() -> None:
     admission = policy_admission.Adaptive(64, 100)
     admission.hint(40)
     assert admission.limit == 40
@@ -229,18 +229,18 @@
     assert choose(candidate_of("a", 9, 20), candidate_of("b", 12)) == "b"
 
 
-def test_routing_prefers_the_own_hall_until_it_is_full() -> None:
+def test_routing_prefers_the_local_hall_until_it_is_full() -> None:
     far = candidate_of("far", near=False)
     assert choose(candidate_of("near", 5), far) == "near"
     assert choose(candidate_of("near", 9, 9), far) == "far"
 
 
-def test_routing_prefers_the_holder_of_the_prefix_unless_it_is_hot() -> None:
+def test_routing_prefers_the_holder_of_the_prefix_unless_it_is_busy() -> None:
     assert choose(candidate_of("a"), candidate_of("b", prefix=True)) == "b"
     assert choose(candidate_of("a"), candidate_of("b", 30, prefix=True)) == "a"
 
 
-def test_second_tries_stay_within_their_share() -> None:
+def test_retries_stay_within_the_budget() -> None:
     budget = entry_budget.RetryBudget(0.1)
     granted = 0
     for _ in range(1000):
@@ -250,7 +250,7 @@
 
 
 def learned(**rates: float) -> tuple[policy_cascade.Learned, documents.Template]:
-    """Give a cascade that has seen 200 ratings of each version."""
+    """Return a cascade that has learned 200 ratings of each version."""
     cascade = policy_cascade.Learned()
     names = [name.replace("_", "@") for name in rates]
     template = site.template(*names)
@@ -266,7 +266,7 @@
     return choice.versions
 
 
-def test_a_cascade_tries_the_cheap_version_where_that_saves() -> None:
+def test_a_cascade_tries_the_cheap_version_if_that_lowers_the_cost() -> None:
     cascade, template = learned(cheap_1=0.6, best_1=0.99)
     allowed = ["cheap@1", "best@1"]
     assert versions_of(cascade.choose(template, allowed, True)) == allowed
@@ -295,7 +295,7 @@
 
 
 @pytest.mark.parametrize("stable_bad, rate", [(0, 0.3), (20, 0.5)])
-def test_the_guard_stops_a_version_that_is_worse(stable_bad: int, rate: float) -> None:
+def test_the_guard_halts_a_version_that_is_worse(stable_bad: int, rate: float) -> None:
     guard = policy_guard.Sequential()
     rng = random.Random(2)
     answers = bad = 0
@@ -306,7 +306,7 @@
         assert answers < 200
 
 
-def test_the_guard_stops_a_version_that_turns_bad_after_a_long_good_time() -> None:
+def test_the_guard_halts_a_version_that_turns_bad_after_a_long_good_time() -> None:
     guard = policy_guard.Sequential()
     stable = policy_api.Counts(10_000, 100)
     assert not guard.is_bad("v/1", policy_api.Counts(20_000, 200), stable)
@@ -350,7 +350,7 @@
         policy_api.EndpointState(name, frozenset({"old@1"}), 0, 8) for name in "abcd"
     ]
     demands = [policy_api.Demand("old@1", 1.0), policy_api.Demand("new@1", 9.0)]
-    board = policy_placement.Board(states)
+    board = policy_placement.PlannedState(states)
     for _ in range(10):
         moves = planned.plan(
             [
--- a/gaprock/test/testprompts.py
+++ b/gaprock/test/testprompts.py
@@ -1,4 +1,4 @@
-"""Prompts that endpoints keep: what is remembered, told to others, and chosen by."""
+"""Prefix caches of endpoints: how they are tracked, reported to peers, and used."""
 
 import random
 
@@ -22,7 +22,7 @@
 PARTS = [("shared", 300), ("subject", 500), ("own", 200)]
 
 
-def test_a_prompt_is_kept_for_its_model_up_to_the_first_other_part() -> None:
+def test_a_prefix_is_cached_per_model_up_to_the_first_different_part() -> None:
     cache = prefix_cache.PrefixCache()
     cache.use(prefix_cache.prefix_hashes("small", PARTS), 10_000)
     other_own = [*PARTS[:2], ("other", 100)]
@@ -33,7 +33,7 @@
     assert cache.cached(prefix_cache.prefix_hashes("large", PARTS)) == 0
 
 
-def test_the_part_used_longest_ago_gives_way_from_its_end() -> None:
+def test_the_last_part_of_the_least_recently_used_prompt_is_evicted_first() -> None:
     cache = prefix_cache.PrefixCache()
     old = prefix_cache.prefix_hashes("m", [("a", 400), ("b", 400)])
     cache.use(old, 1000)
@@ -45,7 +45,7 @@
 @hypothesis.given(
     st.lists(st.lists(st.tuples(st.sampled_from("abcd"), st.integers(1, 60))))
 )
-def test_no_more_is_kept_than_there_is_room(
+def test_the_cache_stays_within_its_capacity(
     prompts: list[list[tuple[str, int]]],
 ) -> None:
     cache = prefix_cache.PrefixCache()
@@ -66,7 +66,7 @@
     return books
 
 
-def test_prompts_are_told_to_other_gateways_once() -> None:
+def test_prompts_are_reported_to_other_gateways_once() -> None:
     here, there = fleet()
     hashes = prefix_cache.prefix_hashes("m", PARTS)
     count, first = here.prompts_since(0)
@@ -75,7 +75,7 @@
         900.0, hashes
     )
     here.begin(endpoint, prompt)
-    # What is only being read is no help for another one yet.
+    # A prompt that is still being read is not in the cache yet.
     assert endpoint.cache.cached(hashes) == 0
     assert here.prompts_since(0) == (0, [])
     here.read(endpoint, prompt)
@@ -85,7 +85,7 @@
     assert here.prompts_since(count) == (count, [])
 
 
-def test_a_peer_that_was_told_nothing_gets_no_more_than_is_remembered() -> None:
+def test_a_new_peer_gets_at_most_the_stored_prompts() -> None:
     here, _ = fleet()
     endpoint = here.usable("app", set())[0]
     for number in range(directory_peers.TOLD_PROMPTS + 5):
@@ -99,7 +99,7 @@
     assert here.prompts_since(count - 2)[1] == told[-2:]
 
 
-def test_a_send_that_brought_no_answer_leaves_nothing_behind() -> None:
+def test_a_send_without_an_answer_changes_neither_backlog_nor_cache() -> None:
     here, _ = fleet()
     endpoint = here.usable("app", set())[0]
     prompt = endpoint_state.Prompt(900.0, prefix_cache.prefix_hashes("m", PARTS))
@@ -114,7 +114,7 @@
     return policy_api.Candidate("", load, 0, True, False, unread)
 
 
-def test_a_kept_prompt_goes_first_until_its_endpoint_has_more_to_read() -> None:
+def test_a_cached_prompt_wins_until_its_endpoint_has_more_to_prefill() -> None:
     policy = policy_routing.LeastFilled()
     rng = random.Random(1)
     reads_all = candidate("reads-all", 1.0)
@@ -127,7 +127,7 @@
     return gatewaysite.GatewaySite()
 
 
-def test_a_second_request_of_a_subject_goes_where_its_prompt_is_kept(
+def test_requests_with_a_common_prefix_go_to_the_endpoint_that_caches_it(
     site: gatewaysite.GatewaySite,
 ) -> None:
     with site:
@@ -148,9 +148,10 @@
 
 
 def read_tokens(knows: bool) -> int:
-    """Send prompts of 53 subjects to six engines, and count what these read.
+    """Send prompts with 53 different prefixes to six engines.
 
-    :param knows: whether the choice counts what an engine keeps.
+    :param knows: whether the choice takes the engines' caches into account.
+    :returns: the number of tokens that the engines read.
     """
     policy, rng = policy_routing.LeastFilled(), random.Random(7)
     engines = [prefix_cache.PrefixCache() for _ in range(6)]
@@ -174,8 +175,8 @@
     return read
 
 
-def test_engines_read_less_when_the_choice_knows_what_they_keep() -> None:
-    """Tokens read by 600 prompts, before: 7.61 million; after: 3.00 million."""
+def test_engines_prefill_less_when_routing_knows_their_caches() -> None:
+    """Tokens read for 600 prompts: 7.61 million before, 3.00 million after."""
     before, after = read_tokens(knows=False), read_tokens(knows=True)
     assert before > 7_000_000
     assert after < 3_500_000
--- a/gaprock/test/testrefusals.py
+++ b/gaprock/test/testrefusals.py
@@ -1,4 +1,4 @@
-"""A refusal that says "not run" is true, and bad input changes nothing."""
+"""A request that is refused as "not run" has not run, and bad input has no effect."""
 
 import json
 import threading
@@ -41,14 +41,14 @@
 
 
 def stop_engine(s: site.Site) -> None:
-    # The agent has not noticed yet: the call itself meets a closed port.
+    # The agent has not noticed yet; the call itself finds the port closed.
     for task in s.agents["a"]._tasks:
         task.stop()
     s.engines["a"].stop()
 
 
 def fall_behind(s: site.Site) -> None:
-    # For good: one that catches up within the entry's wait serves the call.
+    # Permanently: an agent that catches up within the entry's wait serves the call.
     stuck = types.SimpleNamespace(ready=True, revision=-1)
     setattr(s.agents["a"].gate, "_config", stuck)
 
@@ -71,7 +71,7 @@
         (refuse_admission, errorcodes.OVERLOADED),
     ],
 )
-def test_each_refusal_says_truly_that_nothing_ran(
+def test_each_refusal_means_that_nothing_ran(
     setup: Setup, code: errorcodes.ErrorCode
 ) -> None:
     with site.Site() as s:
@@ -107,7 +107,7 @@
 
 
 class HubRig:
-    """A hub without a socket: messages go in, and come out in a list."""
+    """A hub without a socket: takes messages directly, and collects what it sends."""
 
     def __init__(self) -> None:
         self.rig = testconfig.GateRig()
@@ -140,7 +140,7 @@
         max_size=6,
     )
 )
-def test_what_an_agent_calls_not_run_never_runs_in_any_order_of_messages(
+def test_a_refused_request_never_runs_in_any_order_of_messages(
     arrivals: list[str],
 ) -> None:
     rig = HubRig()
--- a/gaprock/test/testreturns.py
+++ b/gaprock/test/testreturns.py
@@ -1,4 +1,4 @@
-"""Refused callers come back in their order and at the pace at which room comes free."""
+"""Refused callers retry in order, at the rate at which slots become free."""
 
 import heapq
 import random
@@ -13,25 +13,25 @@
 CALLER_S: typing.Final = 20.0
 
 
-def test_refused_callers_come_back_one_by_one_at_the_pace_of_ends() -> None:
+def test_retries_are_spaced_at_the_rate_of_ended_requests() -> None:
     line = retry_schedule.RetrySchedule()
     for number in range(20):
         line.note_end(100.0 + 0.2 * number)
     waits = [line.next_s(104.0, CALLER_S) for _ in range(10)]
-    assert waits[0] == pytest.approx(retry_schedule.SHORTEST_S)
+    assert waits[0] == pytest.approx(retry_schedule.MIN_RETRY_S)
     steps = {round(b - a, 6) for a, b in zip(waits, waits[1:])}
     assert steps == {retry_schedule.RATE_WINDOW_S / 20}
-    # One that is refused later stands behind them, and an old line is forgotten.
+    # A caller that is refused later retries after them; an old schedule has no effect.
     pace_s = retry_schedule.RATE_WINDOW_S / 17
     assert line.next_s(104.5, CALLER_S) == pytest.approx(waits[-1] - 0.5 + pace_s)
-    assert line.next_s(150.0, CALLER_S) == pytest.approx(retry_schedule.SHORTEST_S)
+    assert line.next_s(150.0, CALLER_S) == pytest.approx(retry_schedule.MIN_RETRY_S)
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(
     st.lists(st.tuples(st.floats(0.0, 0.5), st.booleans(), st.floats(0.0, 30.0)))
 )
-def test_nobody_is_told_to_stay_away_for_longer_than_callers_heed(
+def test_no_retry_delay_is_longer_than_callers_obey(
     steps: list[tuple[float, bool, float]],
 ) -> None:
     line, now = retry_schedule.RetrySchedule(), 10.0
@@ -42,23 +42,23 @@
             continue
         wait_s = line.next_s(now, caller_s)
         longest_s = retry_schedule.CALLER_SHARE * caller_s
-        assert wait_s >= retry_schedule.SHORTEST_S - 1e-9
-        assert wait_s <= max(retry_schedule.SHORTEST_S, longest_s) + 1e-9
+        assert wait_s >= retry_schedule.MIN_RETRY_S - 1e-9
+        assert wait_s <= max(retry_schedule.MIN_RETRY_S, longest_s) + 1e-9
 
 
 def play(wait_s: typing.Callable[[float], float], ended: typing.Any) -> float:
-    """Have 120 callers meet 40 places at once; each is refused once at most.
+    """Simulate 120 callers that arrive at once at 40 slots; each retries at most once.
 
-    :param wait_s: gives when a refused one comes back.
-    :param ended: is told of each end.
-    :returns: the share that was served.
+    :param wait_s: returns the retry delay of a refused caller.
+    :param ended: called with the time of each ended request.
+    :returns: the share of callers that were served.
     """
     rng = random.Random(7)
     open_calls, served, count = 0, 0, 120
     events: list[tuple[float, int, str]] = []
     for number in range(count):
         heapq.heappush(events, (rng.uniform(0.0, 0.3), number, "first"))
-    # Requests that came before have their ends meanwhile.
+    # Earlier requests end meanwhile.
     for number in range(40):
         heapq.heappush(events, (rng.uniform(0.0, 2.0), number, "end"))
         open_calls += 1
@@ -76,8 +76,8 @@
     return served / count
 
 
-def test_more_callers_are_served_than_with_times_drawn_from_a_span() -> None:
-    """The share that is served: 0.23 before, 0.64 now."""
+def test_more_callers_are_served_than_with_random_retry_times() -> None:
+    """Share of callers served: 0.23 with random retry times, 0.64 with the schedule."""
     line = retry_schedule.RetrySchedule()
     for number in range(20):
         line.note_end(-4.0 + 0.2 * number)
--- a/gaprock/test/testrouting.py
+++ b/gaprock/test/testrouting.py
@@ -1,4 +1,4 @@
-"""Pure parts of the gateway: routes, events, budget, endpoints, model choice."""
+"""Unit tests of the gateway: routes, events, budget, endpoints, model choice."""
 
 import random
 
@@ -105,7 +105,7 @@
     assert 0 < taken <= 9
 
 
-def test_a_gateway_that_knows_of_none_has_none_of_the_allowance() -> None:
+def test_a_gateway_without_a_member_count_gets_no_allowance() -> None:
     budget = retry_window.RetryWindow(0.5, 9.0, 5.0, lambda: 0)
     assert not budget.take("s", 1.0)
     for _ in range(10):
@@ -126,7 +126,7 @@
     return {e.name for e in book.usable("app", set())}
 
 
-def test_a_leaving_endpoint_is_used_only_alone_and_not_for_long(
+def test_a_draining_endpoint_is_used_only_if_alone_and_for_a_short_time(
     time: clock.ManualClock,
 ) -> None:
     book = directory.Directory(time, drain_s=2.0)
@@ -137,12 +137,12 @@
     assert names(book) == {"a", "b"}
     time.advance(1.1)
     assert names(book) == set()
-    # A row that lapsed while the store was away comes back.
+    # A row that expired during a store outage is used again once it is back.
     book.update("b", row())
     assert names(book) == {"b"}
 
 
-def test_rows_that_lapsed_with_the_store_away_are_used_until_they_are_back(
+def test_rows_that_expired_in_a_store_outage_are_used_until_they_are_back(
     time: clock.ManualClock,
 ) -> None:
     book = directory.Directory(time, drain_s=2.0)
@@ -154,15 +154,16 @@
     time.advance(1.5)
     book.update("a", row())
     assert {e.name for e in book.usable("app", set())} == {"a", "b", "c"}
-    # One that stays away is gone, before the time is over that it may be sent to.
+    # A row that stays away counts as removed before its time as a draining endpoint
+    # is over.
     time.advance(0.4)
     assert {e.name for e in book.usable("app", set())} == {"a", "c"}
-    # Without an outage a missing row is one of an endpoint that leaves.
+    # Without a store outage, a missing row means that its endpoint is leaving.
     book.update("a", None)
     assert {e.name for e in book.usable("app", set())} == {"c"}
 
 
-def test_an_endpoint_is_tried_again_by_one_request_after_a_pause(
+def test_an_ejected_endpoint_is_probed_by_one_request_after_a_pause(
     time: clock.ManualClock,
 ) -> None:
     book = directory.Directory(time, drain_s=2.0)
@@ -174,7 +175,7 @@
     assert not book.is_ejected(endpoint, time.now())
     book.begin(endpoint, endpoint_state.Prompt(0.0, []))
     assert book.is_ejected(endpoint, time.now())
-    # The trial ended without a word on the endpoint: the next one may try.
+    # The probe ended without a result; the next request may probe again.
     book.end(endpoint)
     assert not book.is_ejected(endpoint, time.now())
     book.begin(endpoint, endpoint_state.Prompt(0.0, []))
@@ -182,7 +183,7 @@
     assert not endpoint.ejected_until
 
 
-def test_an_endpoint_that_fails_more_than_its_service_is_set_aside(
+def test_an_endpoint_that_fails_more_than_its_service_is_ejected(
     time: clock.ManualClock,
 ) -> None:
     book = directory.Directory(time, drain_s=2.0)
@@ -195,7 +196,7 @@
     assert not book.is_ejected(sound, time.now())
 
 
-def test_an_endpoint_that_others_find_dark_is_doubted_until_it_speaks(
+def test_an_endpoint_that_peers_find_unreachable_is_suspected_until_heard(
     time: clock.ManualClock,
 ) -> None:
     book = directory.Directory(time, 2.0)
@@ -210,7 +211,7 @@
     assert not first.is_suspected and second.is_suspected
     book.apply_peer_unreachable("other", [])
     assert not second.is_suspected
-    # One that finds most of them dark is cut off itself.
+    # A peer that finds most endpoints unreachable is cut off itself, so it is ignored.
     time.advance(1.0)
     book.apply_peer_unreachable("other", [f"e{n}" for n in range(4)])
     assert not any(e.is_suspected for e in book.usable("app", set()))
@@ -238,7 +239,7 @@
     return policy_api.Candidate("", load, 0, near, False, unread)
 
 
-def test_the_own_hall_goes_first_until_it_is_clearly_fuller() -> None:
+def test_the_local_hall_is_preferred_until_it_is_clearly_fuller() -> None:
     policy = policy_routing.LeastFilled()
     rng = random.Random(1)
     near, far = candidate("near", 4, True), candidate("far", 0, False)
@@ -249,47 +250,47 @@
     assert policy.choose([], rng) is None
 
 
-def ask(largest_s: float, climbs_left: int = 2) -> policy_api.ModelAsk:
+def ask(largest_s: float, escalations_left: int = 2) -> policy_api.ModelQuery:
     models = [routes.ModelCost("small", 0.01), routes.ModelCost("large", 0.2)]
     first_s = [0.05, largest_s]
-    return policy_api.ModelAsk(models, 1000, 100, 1.0, climbs_left, first_s)
+    return policy_api.ModelQuery(models, 1000, 100, 1.0, escalations_left, first_s)
 
 
-def ask_three(middle_s: float = 0.1, largest_s: float = 0.1) -> policy_api.ModelAsk:
+def ask_three(middle_s: float = 0.1, largest_s: float = 0.1) -> policy_api.ModelQuery:
     costs = {"small": 0.01, "middle": 0.1, "large": 0.2}
     models = [routes.ModelCost(name, cost) for name, cost in costs.items()]
     first_s = [0.05, middle_s, largest_s]
-    return policy_api.ModelAsk(models, 1000, 100, 1.0, 2, first_s)
+    return policy_api.ModelQuery(models, 1000, 100, 1.0, 2, first_s)
 
 
-def test_doubt_climbs_while_the_larger_model_is_in_time() -> None:
+def test_doubtful_answers_escalate_while_the_larger_model_is_in_time() -> None:
     policy = policy_models.Confidence()
     assert policy.first(ask(0.1)) == "small"
     assert policy.escalate(ask(0.1), "small", 45) == "large"
     assert policy.escalate(ask(0.1), "small", 55) is None
     assert policy.escalate(ask(0.1), "large", 5) is None
-    assert policy.escalate(ask(0.1, climbs_left=0), "small", 5) is None
-    # As the larger one nears the goal, what counts as doubt shrinks, then ends.
+    assert policy.escalate(ask(0.1, escalations_left=0), "small", 5) is None
+    # As the larger model's time nears the goal, the threshold falls to zero.
     assert policy.escalate(ask(0.45), "small", 45) is None
     assert policy.escalate(ask(0.45), "small", 20) == "large"
     assert policy.escalate(ask(0.8), "small", 5) is None
 
 
-def test_the_smallest_model_that_is_likely_sure_is_asked() -> None:
+def test_the_smallest_model_that_is_likely_confident_is_asked() -> None:
     policy = policy_models.Confidence()
     assert policy.escalate(ask_three(), "small", 45) == "middle"
     assert policy.escalate(ask_three(), "small", 10) == "large"
     assert policy.escalate(ask_three(), "middle", 45) == "large"
-    # The middle one is in time where the largest one is not.
+    # The middle model is in time although the largest one is not.
     assert policy.escalate(ask_three(largest_s=0.9), "small", 40) == "middle"
     assert policy.escalate(ask_three(largest_s=0.9), "small", 10) is None
 
 
-def test_how_much_surer_a_model_is_is_learned_from_climbs() -> None:
+def test_confidence_gains_are_learned_from_escalations() -> None:
     policy = policy_models.Confidence()
     for _ in range(100):
         policy.learn("small", 20.0, "middle", 55.0)
-        # The ends of the scale tell nothing of the gain.
+        # Values at the ends of the scale don't show the gain.
         policy.learn("small", 0.0, "middle", 0.0)
     assert policy.escalate(ask_three(), "small", 18) == "middle"
     for _ in range(1000):
@@ -297,7 +298,7 @@
     assert policy.escalate(ask_three(), "small", 40) == "large"
 
 
-def test_a_backlog_falls_with_time_but_not_to_nothing() -> None:
+def test_a_backlog_falls_with_time_but_not_to_zero() -> None:
     waiting = backlog.Backlog()
     waiting.add(1000.0, 10.0)
     waiting.take("other", 500.0, 10.0)
@@ -305,7 +306,7 @@
     assert waiting.left(10.0, 100.0) == 1500.0
     assert waiting.left(15.0, 100.0) == 1500.0 - 5.0 * read_s
     assert waiting.left(99.0, 100.0) == backlog.LEFT_SHARE * 1500.0
-    # Whatever is read shows that the rest has still to be.
+    # Once a prompt was read, the others count as unread in full again.
     waiting.remove(1000.0, 99.0)
     assert waiting.left(99.0, 100.0) == 500.0
     waiting.take("other", 0.0, 100.0)
@@ -317,25 +318,25 @@
 )
 
 
-def test_what_a_models_token_weighs_is_learned_from_prompts_without_a_wait() -> None:
+def test_token_weights_are_learned_from_prompts_without_queueing() -> None:
     pace = prefill_pace.PrefillPace()
     assert pace.weight(SERVICE, "small") == pytest.approx(0.05)
     assert pace.weight(SERVICE, "") == 1.0
     for _ in range(100):
-        pace.observe_model(SERVICE, "small", 10_000, 0.0, 0.1 + prefill_pace.OTHER_S)
-        pace.observe_model(SERVICE, "large", 10_000, 0.0, 0.5 + prefill_pace.OTHER_S)
-        # Behind others, or too short: it tells nothing of its own pace.
+        pace.observe_model(SERVICE, "small", 10_000, 0.0, 0.1 + prefill_pace.OVERHEAD_S)
+        pace.observe_model(SERVICE, "large", 10_000, 0.0, 0.5 + prefill_pace.OVERHEAD_S)
+        # Behind other prompts, or too short: not used for the model's token time.
         pace.observe_model(SERVICE, "small", 10_000, 2.0, 9.0)
         pace.observe_model(SERVICE, "small", 10, 0.0, 9.0)
     assert pace.weight(SERVICE, "small") == pytest.approx(0.2, rel=0.01)
 
 
-def test_an_engines_reading_is_never_taken_as_endlessly_fast() -> None:
+def test_the_prefill_rate_estimate_is_bounded() -> None:
     pace = prefill_pace.PrefillPace()
     for _ in range(1000):
         pace.observe("s", 1000.0, 0.1)
         pace.observe("s", 9000.0, 0.1)
-    most = prefill_pace.MOST_TIMES / prefill_pace.FIRST_SLOPE_S
+    most = prefill_pace.MAX_SPEEDUP / prefill_pace.PRIOR_SLOPE_S
     assert pace.tokens_per_s("s") == pytest.approx(most)
 
 
@@ -373,7 +374,7 @@
 
 @hypothesis.settings(derandomize=True, max_examples=200)
 @hypothesis.given(st.binary(max_size=40), st.binary(max_size=40), st.binary(max_size=9))
-def test_any_header_value_is_read_without_a_fault(
+def test_any_header_value_is_parsed_without_an_error(
     counts: bytes, parts: bytes, last: bytes
 ) -> None:
     dialect = wire.PlatformDialect()
--- a/misc/proofs.py
+++ b/misc/proofs.py
@@ -259,8 +259,7 @@
     Proof(
         6,
         "what was called lost on the way is not run by a straggler",
-        "testrefusals.py::test_what_an_agent_calls_not_run_never_runs_in_any_order_of"
-        "_messages",
+        "testrefusals.py::test_a_refused_request_never_runs_in_any_order_of_messages",
         (
             Edit(
                 "agent_hub.py",
--- a/misc/proofs_gateway_endpoints.py
+++ b/misc/proofs_gateway_endpoints.py
@@ -14,22 +14,23 @@
     ),
     proofs.gateway(
         "a leaving endpoint gets nothing new",
-        "testrouting.py::test_a_leaving_endpoint_is_used_only_alone_and_not_for_long",
+        "testrouting.py::test_a_draining_endpoint_is_used_only_if_alone_and_for_a"
+        "_short_time",
         "directory_rows.py",
         "return staying if any(test(e) for e in staying) else live",
         "return live",
     ),
     proofs.gateway(
         "a gateway that finds most endpoints dark is not believed",
-        "testrouting.py::test_an_endpoint_that_others_find_dark_is_doubted_until_it"
-        "_speaks",
+        "testrouting.py::test_an_endpoint_that_peers_find_unreachable_is_suspected"
+        "_until_heard",
         "directory_peers.py",
         "if found[endpoint.row.service] > max(1, DARK_SHARE * size):",
         "if False:",
     ),
     proofs.gateway(
         "a prompt is kept only once it was read",
-        "testprompts.py::test_prompts_are_told_to_other_gateways_once",
+        "testprompts.py::test_prompts_are_reported_to_other_gateways_once",
         "directory.py",
         "            endpoint.backlog.add(prompt.reading, now)\n",
         "            endpoint.backlog.add(prompt.reading, now)\n"
@@ -37,18 +38,17 @@
     ),
     proofs.gateway(
         "engines read less when the choice knows what they keep",
-        "testprompts.py::test_engines_read_less_when_the_choice_knows_what_they_keep",
+        "testprompts.py::test_engines_prefill_less_when_routing_knows_their_caches",
         "prefix_cache.py",
-        "            cached += mark.tokens\n",
+        "            cached += hash_.tokens\n",
         "            cached += 0\n",
     ),
     proofs.gateway(
         "refused callers come back one after another",
-        "testreturns.py::test_more_callers_are_served_than_with_times_drawn_from_a"
-        "_span",
+        "testreturns.py::test_more_callers_are_served_than_with_random_retry_times",
         "retry_schedule.py",
-        "self._last_at + pace_s",
-        "self._last_at",
+        "self._last_retry_at + pace_s",
+        "self._last_retry_at",
     ),
     proofs.gateway(
         "ends that a request does not explain speak for it",
@@ -116,8 +116,7 @@
     ),
     proofs.gateway(
         "what endpoints do not take in time is refused at once",
-        "testpaced.py::test_what_is_more_than_all_endpoints_take_is_refused_as_not"
-        "_run",
+        "testpaced.py::test_requests_above_the_rate_limits_are_refused_as_not_run",
         "gateway_find.py",
         "if self._queue.sent_at(call, place, turn) > latest_at:",
         "if False:",
@@ -138,7 +137,7 @@
     ),
     proofs.gateway(
         "the most urgent that waits goes first",
-        "testpaced.py::test_the_most_urgent_goes_first_and_then_who_came_first",
+        "testpaced.py::test_requests_are_queued_by_urgency_and_then_by_arrival",
         "paced_queue.py",
         "place = Place(call.urgency, next(self._numbers))",
         "place = Place(0, next(self._numbers))",
@@ -169,7 +168,8 @@
         "requests stay in the regions of their route and workspace",
         "testemptied.py::test_regions_of_the_route_and_of_the_workspace_both_bind",
         "gateway_choose.py",
-        "        return all(not regions or region in regions for regions in homes)",
+        "        return all(not regions or region in regions for regions in"
+        " allowed_regions)",
         "        return True",
     ),
 )
--- a/misc/proofs_gateway_requests.py
+++ b/misc/proofs_gateway_requests.py
@@ -73,7 +73,7 @@
     ),
     proofs.gateway(
         "the smallest model that is likely sure is asked",
-        "testrouting.py::test_the_smallest_model_that_is_likely_sure_is_asked",
+        "testrouting.py::test_the_smallest_model_that_is_likely_confident_is_asked",
         "policy_models.py",
         "            if confidence + total / count >= DOUBTFUL:\n",
         "            if False:\n",
--- a/misc/proofs_gateway_store.py
+++ b/misc/proofs_gateway_store.py
@@ -193,7 +193,7 @@
         "a version without answers is stopped",
         "testunstopped.py::test_a_version_that_gives_no_answers_is_stopped",
         "gateway_judge.py",
-        "        if self._judge(call, attempt, call.route.name, judged):\n",
+        "        if self._judge(call, attempt, call.route.name, sample):\n",
         "        if False:\n",
     ),
     proofs.gateway(
@@ -209,7 +209,7 @@
         "testunstopped.py::test_an_endpoint_that_crashes_does_not_speak_against_its"
         "_version",
         "gateway_judge.py",
-        "if not lives or not self.judges_breaks(call):",
+        "if not is_reachable or not self.judges_breaks(call):",
         "if not self.judges_breaks(call):",
     ),
     proofs.gateway(
