--- a/gaprock/backlog.py
+++ b/gaprock/backlog.py
@@ -2,18 +2,18 @@
 
 Each gateway knows its own prompts that await prefill, and the other gateways report
 theirs. A prompt counts as outstanding until its first event. But an engine reads it
-gradually, so the estimate falls with the time since a prompt was last finished. The
-unit is tokens of the largest model.
+gradually, so the estimate falls with the time since a prompt was last finished.
+Otherwise a queue would look full long after it was read, and requests would go to other
+halls because of it. The unit is tokens of the largest model.
 """
 
 import typing
 
-# Without these estimates, a queue would look full long after it was read, and requests
-# would go to other halls because of it. The first is the share of its prefill rate at
-# which an engine is assumed to read, as it decodes at the same time. The second is the
-# share of the outstanding tokens that always counts as unread, since the estimate may
-# be wrong.
+# Share of its prefill rate at which an engine is assumed to read, since it decodes at
+# the same time.
 READING_SHARE: typing.Final = 0.6
+# Share of the outstanding tokens that always counts as unread, since the estimate may
+# be wrong.
 LEFT_SHARE: typing.Final = 0.2
 
 
--- a/gaprock/gateway_choose.py
+++ b/gaprock/gateway_choose.py
@@ -134,7 +134,7 @@
         prompts: dict[str, endpoint_state.Prompt],
         mean: float,
     ) -> None:
-        """Log and record an endpoint that was not chosen only due to its rate limit."""
+        """Log and record the best endpoint if only its rate limit ruled it out."""
         best = self._best(([chosen] if chosen else []) + paced, prompts, mean)
         if best is None or best is chosen:
             return
@@ -232,7 +232,7 @@
         return all(not regions or region in regions for regions in allowed_regions)
 
     def note_end(self, call: gateway_call.Call) -> None:
-        """Record that a call is over, from when on its session counts as idle."""
+        """Record the end of a call; its session is idle from now on."""
         if call.is_in_session:
             self._rollouts.record_session_end(call.service, call.session)
 
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -144,14 +144,14 @@
         """
         latest_at = call.inbound.arrived_at + QUEUE_SHARE * call.route.goal_s
         latest_at = min(latest_at, call.deadline)
-        place = self._queue.enter(call)
+        position = self._queue.enter(call)
         try:
             while turn is not None:
-                if self._queue.is_first(call, place):
+                if self._queue.is_first(call, position):
                     chosen = self._chooser.endpoint(call, model)
                     if chosen is not None:
                         return chosen
-                if self._queue.sent_at(call, place, turn) > latest_at:
+                if self._queue.expected_send_at(call, position, turn) > latest_at:
                     if call.excluded and not call.has_run:
                         # An endpoint that refused the call may have a free slot by now.
                         call.excluded.clear()
@@ -162,7 +162,7 @@
                 turn = self._chooser.turn(call)
             return None
         finally:
-            self._queue.leave(call, place)
+            self._queue.leave(call, position)
 
     def _rate_limited(
         self, call: gateway_call.Call, turn: rate_pacing.Turn
--- a/gaprock/gateway_models.py
+++ b/gaprock/gateway_models.py
@@ -22,8 +22,7 @@
     routes,
 )
 
-# Part of each service's retry budget that is reserved for failures: escalations don't
-# use the last repeats.
+# Number of repeats in each service's retry budget that escalations leave for failures.
 ESCALATION_RESERVE: typing.Final = 4.0
 
 
--- a/gaprock/paced_queue.py
+++ b/gaprock/paced_queue.py
@@ -16,7 +16,7 @@
 from gaprock import gateway_call, rate_pacing, retry_schedule
 
 
-class Place(typing.NamedTuple):
+class Position(typing.NamedTuple):
     """A request's position in the queue of its service: by urgency, then by arrival.
 
     :param urgency: lower values are sent first.
@@ -29,48 +29,48 @@
 class PacedQueue:
     """The queues of all services; thread-safe."""
 
-    __slots__ = ("_lock", "_numbers", "_places", "_retry_schedules")
+    __slots__ = ("_lock", "_numbers", "_positions", "_retry_schedules")
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._numbers = itertools.count()
-        self._places: dict[str, list[Place]] = {}
+        self._positions: dict[str, list[Position]] = {}
         # Retry times of refused callers, by service.
         self._retry_schedules: dict[str, retry_schedule.RetrySchedule] = {}
 
-    def enter(self, call: gateway_call.Call) -> Place:
+    def enter(self, call: gateway_call.Call) -> Position:
         """Add a request to the queue of its service."""
-        place = Place(call.urgency, next(self._numbers))
+        position = Position(call.urgency, next(self._numbers))
         with self._lock:
-            bisect.insort(self._places.setdefault(call.service, []), place)
-        return place
+            bisect.insort(self._positions.setdefault(call.service, []), position)
+        return position
 
-    def leave(self, call: gateway_call.Call, place: Place) -> None:
+    def leave(self, call: gateway_call.Call, position: Position) -> None:
         """Remove a request from the queue."""
         with self._lock:
-            places = self._places[call.service]
-            places.remove(place)
-            if not places:
-                del self._places[call.service]
+            positions = self._positions[call.service]
+            positions.remove(position)
+            if not positions:
+                del self._positions[call.service]
 
-    def is_first(self, call: gateway_call.Call, place: Place) -> bool:
+    def is_first(self, call: gateway_call.Call, position: Position) -> bool:
         """Whether a request is the first one in its queue."""
-        return self._ahead_of(call, place) == 0
+        return self._ahead_of(call, position) == 0
 
-    def sent_at(
-        self, call: gateway_call.Call, place: Place, turn: rate_pacing.Turn
+    def expected_send_at(
+        self, call: gateway_call.Call, position: Position, turn: rate_pacing.Turn
     ) -> float:
         """Estimate when a queued request will be sent."""
-        ahead = self._ahead_of(call, place)
+        ahead = self._ahead_of(call, position)
         return turn.next_at + (ahead * turn.pause_s if ahead else 0.0)
 
-    def _ahead_of(self, call: gateway_call.Call, place: Place) -> int:
+    def _ahead_of(self, call: gateway_call.Call, position: Position) -> int:
         with self._lock:
-            return bisect.bisect_left(self._places.get(call.service, []), place)
+            return bisect.bisect_left(self._positions.get(call.service, []), position)
 
     def is_empty(self, service: str) -> bool:
         """Whether no request is queued for a service's endpoints."""
-        return service not in self._places
+        return service not in self._positions
 
     def retry_after_s(
         self,
@@ -84,7 +84,7 @@
         :param caller_s: the time for which the caller still waits.
         """
         with self._lock:
-            returns = self._retry_schedules.setdefault(
+            schedule = self._retry_schedules.setdefault(
                 call.service, retry_schedule.RetrySchedule()
             )
-        return returns.next_s(now, caller_s, turn.pause_s, turn.next_at)
+        return schedule.next_s(now, caller_s, turn.pause_s, turn.next_at)
--- a/gaprock/policy_cascade.py
+++ b/gaprock/policy_cascade.py
@@ -9,8 +9,8 @@
    expected cost. A cheap version comes first only where that saves more than it wastes,
    given how often a rating is available by which to accept its answer.
 2. For a stream, which cannot escalate, it takes the cheapest version that meets the
-   target by itself with enough confidence. While that is open for a version, it tries
-   the version on a small share of streams.
+   target by itself with enough confidence. A version for which this is still open is
+   tried on a small share of streams.
 3. Without ratings, it takes the safest version and assumes nothing about the others.
 """
 
--- a/gaprock/policy_limit.py
+++ b/gaprock/policy_limit.py
@@ -43,8 +43,8 @@
         "_shrinks",
     )
 
-    def __init__(self, most: int) -> None:
-        self._configured_max = self._max = float(most)
+    def __init__(self, max_running: int) -> None:
+        self._configured_max = self._max = float(max_running)
         self._value = min(INITIAL_LIMIT, self._max)
         # Until the first sign of overload, the limit grows by one per run.
         self._grows_fast = True
--- a/gaprock/prefix_cache.py
+++ b/gaprock/prefix_cache.py
@@ -29,7 +29,7 @@
 
 
 def prefix_hashes(model: str, parts: list[tuple[str, int]]) -> list[PrefixHash]:
-    """Give the hashes of a prompt's parts, in order."""
+    """Return the hashes of a prompt's prefixes, the shortest prefix first."""
     if not mechanisms.KEPT_PROMPTS.on:
         return []
     found = []
--- a/gaprock/retry_after.py
+++ b/gaprock/retry_after.py
@@ -22,11 +22,11 @@
     text = text.strip()
     if NUMBER.match(text):
         return float(text)
-    until = _date(text)
-    if until is None:
+    retry_date = _date(text)
+    if retry_date is None:
         return None
-    since = _date(date) or datetime.datetime.now(datetime.timezone.utc)
-    return max(0.0, (until - since).total_seconds())
+    reference = _date(date) or datetime.datetime.now(datetime.timezone.utc)
+    return max(0.0, (retry_date - reference).total_seconds())
 
 
 def _date(text: str) -> datetime.datetime | None:
--- a/gaprock/test/testpaced.py
+++ b/gaprock/test/testpaced.py
@@ -12,55 +12,60 @@
 
 
 def test_requests_are_queued_by_urgency_and_then_by_arrival() -> None:
-    line = paced_queue.PacedQueue()
+    queue = paced_queue.PacedQueue()
     turn = rate_pacing.Turn(100.0, 2.0)
     calls = [callcase.call(5), callcase.call(1), callcase.call(5), callcase.call(1)]
-    places = [line.enter(one) for one in calls]
-    sent_at = [line.sent_at(*pair, turn) for pair in zip(calls, places)]
-    assert sent_at == [101.0, 100.0, 101.5, 100.5]
-    assert [line.is_first(*pair) for pair in zip(calls, places)].index(True) == 1
-    line.leave(calls[1], places[1])
-    assert line.is_first(calls[3], places[3])
+    positions = [queue.enter(one) for one in calls]
+    expected_send_at = [
+        queue.expected_send_at(*pair, turn) for pair in zip(calls, positions)
+    ]
+    assert expected_send_at == [101.0, 100.0, 101.5, 100.5]
+    assert [queue.is_first(*pair) for pair in zip(calls, positions)].index(True) == 1
+    queue.leave(calls[1], positions[1])
+    assert queue.is_first(calls[3], positions[3])
 
 
 def test_services_have_separate_queues() -> None:
-    line = paced_queue.PacedQueue()
+    queue = paced_queue.PacedQueue()
     one, other = callcase.call(1, "a"), callcase.call(5, "b")
-    line.enter(one)
-    place = line.enter(other)
-    assert line.is_first(other, place)
-    line.leave(other, place)
-    assert line.is_empty("b") and not line.is_empty("a")
+    queue.enter(one)
+    position = queue.enter(other)
+    assert queue.is_first(other, position)
+    queue.leave(other, position)
+    assert queue.is_empty("b") and not queue.is_empty("a")
 
 
 @hypothesis.given(st.lists(st.integers(0, 9), max_size=20))
 def test_the_queue_is_in_order_and_ends_empty(urgencies: list[int]) -> None:
-    line = paced_queue.PacedQueue()
-    waiting = [(one, line.enter(one)) for one in map(callcase.call, urgencies)]
+    queue = paced_queue.PacedQueue()
+    waiting = [(one, queue.enter(one)) for one in map(callcase.call, urgencies)]
     served = []
     while waiting:
-        first = [pair for pair in waiting if line.is_first(*pair)]
+        first = [pair for pair in waiting if queue.is_first(*pair)]
         assert len(first) == 1
         waiting.remove(first[0])
-        line.leave(*first[0])
+        queue.leave(*first[0])
         served.append(first[0][0].urgency)
     assert served == sorted(urgencies)
-    assert line.is_empty(callcase.SERVICE)
+    assert queue.is_empty(callcase.SERVICE)
 
 
 def test_retries_are_spaced_at_the_rate_of_sends() -> None:
-    line = paced_queue.PacedQueue()
+    queue = paced_queue.PacedQueue()
     turn = rate_pacing.Turn(100.5, 4.0)
-    waits = [line.retry_after_s(callcase.call(1), turn, 100.0, 20.0) for _ in range(4)]
+    waits = [queue.retry_after_s(callcase.call(1), turn, 100.0, 20.0) for _ in range(4)]
     steps = [round(after - before, 6) for before, after in zip(waits, waits[1:])]
     assert steps == [0.25, 0.25, 0.25]
 
 
 def test_no_send_is_expected_at_a_rate_of_zero() -> None:
-    line = paced_queue.PacedQueue()
+    queue = paced_queue.PacedQueue()
     one = callcase.call(1)
-    place = line.enter(one)
-    assert line.sent_at(one, place, rate_pacing.Turn(clock.NEVER, 0.0)) == clock.NEVER
+    position = queue.enter(one)
+    assert (
+        queue.expected_send_at(one, position, rate_pacing.Turn(clock.NEVER, 0.0))
+        == clock.NEVER
+    )
 
 
 # -- The whole gateway --
--- a/gaprock/test/testplacing.py
+++ b/gaprock/test/testplacing.py
@@ -11,7 +11,7 @@
 
 
 @pytest.fixture(autouse=True, scope="module")
-def quiet() -> typing.Iterator[None]:
+def load_plugins() -> typing.Iterator[None]:
     plugin.load_all(plugin.GATEWAY_MODULES)
     yield
 
--- a/gaprock/test/testpolicies.py
+++ b/gaprock/test/testpolicies.py
@@ -38,7 +38,7 @@
     return policy_api.Ticket(object(), workspace, share, priority, deadline, NOW)
 
 
-def busy(limit: int = 1, queued: int = 100) -> policy_admission.Adaptive:
+def saturated(limit: int = 1, queued: int = 100) -> policy_admission.Adaptive:
     """Return an admission whose limit is reached."""
     admission = policy_admission.Adaptive(limit, queued)
     for _ in range(limit):
@@ -93,7 +93,7 @@
 
 
 def test_a_small_workspace_gets_its_turn_before_a_large_ones_backlog() -> None:
-    admission = busy()
+    admission = saturated()
     for _ in range(20):
         assert admission.offer(ticket_of("large"), NOW).queued
     small = ticket_of("small")
@@ -107,7 +107,7 @@
 
 
 def test_a_full_queue_evicts_a_ticket_of_the_largest_workspace() -> None:
-    admission = busy(queued=3)
+    admission = saturated(queued=3)
     large = [ticket_of("large") for _ in range(3)]
     for ticket in large:
         assert admission.offer(ticket, NOW).queued
@@ -117,7 +117,7 @@
 
 
 def test_priority_goes_before_turns_and_deadlines() -> None:
-    admission = busy()
+    admission = saturated()
     late, soon = ticket_of("w", NOW + 9), ticket_of("w", NOW + 3)
     urgent = ticket_of("w", NOW + 9, priority=0)
     for ticket in (late, soon, urgent):
@@ -131,7 +131,7 @@
 
 
 def test_a_ticket_that_cannot_meet_its_deadline_is_refused_at_once() -> None:
-    admission = busy()
+    admission = saturated()
     setattr(admission, "_service_s", 2.0)
     assert admission.offer(ticket_of(deadline=NOW + 6), NOW).queued
     verdict = admission.offer(ticket_of(deadline=NOW + 6), NOW)
@@ -139,7 +139,7 @@
 
 
 def test_retry_times_are_spaced_at_the_service_rate() -> None:
-    admission = busy(limit=4)
+    admission = saturated(limit=4)
     setattr(admission, "_service_s", 0.4)
     times = [admission.retry_at(NOW) for _ in range(50)]
     gaps = [b - a for a, b in zip(times, times[1:])]
--- a/gaprock/test/testprompts.py
+++ b/gaprock/test/testprompts.py
@@ -59,52 +59,52 @@
 
 
 def fleet() -> list[directory.Directory]:
-    books = [directory.Directory(clock.ManualClock(100.0), 2.0) for _ in range(2)]
-    for book in books:
-        book.replace({"a": testrouting.row()})
-        book.set_memory({"app": 10_000})
-    return books
+    directories = [directory.Directory(clock.ManualClock(100.0), 2.0) for _ in range(2)]
+    for directory_ in directories:
+        directory_.replace({"a": testrouting.row()})
+        directory_.set_memory({"app": 10_000})
+    return directories
 
 
 def test_prompts_are_reported_to_other_gateways_once() -> None:
-    here, there = fleet()
+    local, peer = fleet()
     hashes = prefix_cache.prefix_hashes("m", PARTS)
-    count, first = here.prompts_since(0)
+    count, first = local.prompts_since(0)
     assert (count, first) == (0, [])
-    endpoint, prompt = here.usable("app", set())[0], endpoint_state.Prompt(
+    endpoint, prompt = local.usable("app", set())[0], endpoint_state.Prompt(
         900.0, hashes
     )
-    here.begin(endpoint, prompt)
+    local.begin(endpoint, prompt)
     # A prompt that is still being read is not in the cache yet.
     assert endpoint.cache.cached(hashes) == 0
-    assert here.prompts_since(0) == (0, [])
-    here.read(endpoint, prompt)
-    count, told = here.prompts_since(0)
-    there.apply_peer_prompts(told)
-    assert there.usable("app", set())[0].cache.cached(hashes) == 1000
-    assert here.prompts_since(count) == (count, [])
+    assert local.prompts_since(0) == (0, [])
+    local.read(endpoint, prompt)
+    count, told = local.prompts_since(0)
+    peer.apply_peer_prompts(told)
+    assert peer.usable("app", set())[0].cache.cached(hashes) == 1000
+    assert local.prompts_since(count) == (count, [])
 
 
 def test_a_new_peer_gets_at_most_the_stored_prompts() -> None:
-    here, _ = fleet()
-    endpoint = here.usable("app", set())[0]
+    local, _ = fleet()
+    endpoint = local.usable("app", set())[0]
     for number in range(directory_peers.TOLD_PROMPTS + 5):
         hashes = prefix_cache.prefix_hashes("m", [(str(number), 1)])
-        here.read(endpoint, endpoint_state.Prompt(1.0, hashes))
-    count, told = here.prompts_since(0)
+        local.read(endpoint, endpoint_state.Prompt(1.0, hashes))
+    count, told = local.prompts_since(0)
     assert (count, len(told)) == (
         directory_peers.TOLD_PROMPTS + 5,
         directory_peers.TOLD_PROMPTS,
     )
-    assert here.prompts_since(count - 2)[1] == told[-2:]
+    assert local.prompts_since(count - 2)[1] == told[-2:]
 
 
 def test_a_send_without_an_answer_changes_neither_backlog_nor_cache() -> None:
-    here, _ = fleet()
-    endpoint = here.usable("app", set())[0]
+    local, _ = fleet()
+    endpoint = local.usable("app", set())[0]
     prompt = endpoint_state.Prompt(900.0, prefix_cache.prefix_hashes("m", PARTS))
-    here.begin(endpoint, prompt)
-    here.drop(endpoint, prompt)
+    local.begin(endpoint, prompt)
+    local.drop(endpoint, prompt)
     assert endpoint.backlog.told == 0.0
     assert endpoint.cache.cached(prompt.hashes) == 0
 
@@ -167,11 +167,11 @@
         ]
         chosen = policy.choose(choices, rng)
         assert chosen is not None
-        place = int(chosen.name)
-        engines[place].use(hashes, 370_000)
+        index = int(chosen.name)
+        engines[index].use(hashes, 370_000)
         backlogs = [max(0.0, tokens - 2_000) for tokens in backlogs]
-        backlogs[place] += readings[place]
-        read += readings[place]
+        backlogs[index] += readings[index]
+        read += readings[index]
     return read
 
 
--- a/gaprock/test/testrefusals.py
+++ b/gaprock/test/testrefusals.py
@@ -24,7 +24,7 @@
 Setup = typing.Callable[[site.Site], object]
 
 
-def leave(s: site.Site) -> None:
+def stop_accepting(s: site.Site) -> None:
     setattr(s.agents["a"].gate, "leaving", True)
 
 
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     "setup, code",
     [
-        (leave, errorcodes.LEAVING),
+        (stop_accepting, errorcodes.LEAVING),
         (fill_bills, errorcodes.BILLS_FULL),
         (fill_entry, errorcodes.OVERLOADED),
         (refuse_at_engine, errorcodes.ENDPOINT_REFUSED),
--- a/gaprock/test/testreturns.py
+++ b/gaprock/test/testreturns.py
@@ -14,17 +14,17 @@
 
 
 def test_retries_are_spaced_at_the_rate_of_ended_requests() -> None:
-    line = retry_schedule.RetrySchedule()
+    schedule = retry_schedule.RetrySchedule()
     for number in range(20):
-        line.note_end(100.0 + 0.2 * number)
-    waits = [line.next_s(104.0, CALLER_S) for _ in range(10)]
+        schedule.note_end(100.0 + 0.2 * number)
+    waits = [schedule.next_s(104.0, CALLER_S) for _ in range(10)]
     assert waits[0] == pytest.approx(retry_schedule.MIN_RETRY_S)
     steps = {round(b - a, 6) for a, b in zip(waits, waits[1:])}
     assert steps == {retry_schedule.RATE_WINDOW_S / 20}
     # A caller that is refused later retries after them; an old schedule has no effect.
     pace_s = retry_schedule.RATE_WINDOW_S / 17
-    assert line.next_s(104.5, CALLER_S) == pytest.approx(waits[-1] - 0.5 + pace_s)
-    assert line.next_s(150.0, CALLER_S) == pytest.approx(retry_schedule.MIN_RETRY_S)
+    assert schedule.next_s(104.5, CALLER_S) == pytest.approx(waits[-1] - 0.5 + pace_s)
+    assert schedule.next_s(150.0, CALLER_S) == pytest.approx(retry_schedule.MIN_RETRY_S)
 
 
 @hypothesis.settings(derandomize=True, deadline=None)
@@ -34,13 +34,13 @@
 def test_no_retry_delay_is_longer_than_callers_obey(
     steps: list[tuple[float, bool, float]],
 ) -> None:
-    line, now = retry_schedule.RetrySchedule(), 10.0
+    schedule, now = retry_schedule.RetrySchedule(), 10.0
     for passed_s, ends, caller_s in steps:
         now += passed_s
         if ends:
-            line.note_end(now)
+            schedule.note_end(now)
             continue
-        wait_s = line.next_s(now, caller_s)
+        wait_s = schedule.next_s(now, caller_s)
         longest_s = retry_schedule.CALLER_SHARE * caller_s
         assert wait_s >= retry_schedule.MIN_RETRY_S - 1e-9
         assert wait_s <= max(retry_schedule.MIN_RETRY_S, longest_s) + 1e-9
@@ -78,11 +78,11 @@
 
 def test_more_callers_are_served_than_with_random_retry_times() -> None:
     """Share of callers served: 0.23 with random retry times, 0.64 with the schedule."""
-    line = retry_schedule.RetrySchedule()
+    schedule = retry_schedule.RetrySchedule()
     for number in range(20):
-        line.note_end(-4.0 + 0.2 * number)
+        schedule.note_end(-4.0 + 0.2 * number)
     rng = random.Random(3)
     before = play(lambda now: rng.uniform(0.15, 0.6), lambda now: None)
-    after = play(lambda now: line.next_s(now, CALLER_S), line.note_end)
+    after = play(lambda now: schedule.next_s(now, CALLER_S), schedule.note_end)
     assert before < 0.25
     assert after > 0.64
--- a/gaprock/test/testrouting.py
+++ b/gaprock/test/testrouting.py
@@ -122,114 +122,114 @@
     return clock.ManualClock(100.0)
 
 
-def names(book: directory.Directory) -> set[str]:
-    return {e.name for e in book.usable("app", set())}
+def names(directory_: directory.Directory) -> set[str]:
+    return {e.name for e in directory_.usable("app", set())}
 
 
 def test_a_draining_endpoint_is_used_only_if_alone_and_for_a_short_time(
     time: clock.ManualClock,
 ) -> None:
-    book = directory.Directory(time, drain_s=2.0)
-    book.replace({"a": row(), "b": row()})
-    book.update("a", row(draining=True))
-    assert names(book) == {"b"}
-    book.update("b", None)
-    assert names(book) == {"a", "b"}
+    directory_ = directory.Directory(time, drain_s=2.0)
+    directory_.replace({"a": row(), "b": row()})
+    directory_.update("a", row(draining=True))
+    assert names(directory_) == {"b"}
+    directory_.update("b", None)
+    assert names(directory_) == {"a", "b"}
     time.advance(1.1)
-    assert names(book) == set()
+    assert names(directory_) == set()
     # A row that expired during a store outage is used again once it is back.
-    book.update("b", row())
-    assert names(book) == {"b"}
+    directory_.update("b", row())
+    assert names(directory_) == {"b"}
 
 
 def test_rows_that_expired_in_a_store_outage_are_used_until_they_are_back(
     time: clock.ManualClock,
 ) -> None:
-    book = directory.Directory(time, drain_s=2.0)
-    book.replace({"a": row(), "b": row(), "c": row()})
+    directory_ = directory.Directory(time, drain_s=2.0)
+    directory_.replace({"a": row(), "b": row(), "c": row()})
     time.advance(10.0)
-    book.store_returned()
-    book.replace({"c": row()})
-    assert {e.name for e in book.usable("app", set())} == {"a", "b", "c"}
+    directory_.store_returned()
+    directory_.replace({"c": row()})
+    assert {e.name for e in directory_.usable("app", set())} == {"a", "b", "c"}
     time.advance(1.5)
-    book.update("a", row())
-    assert {e.name for e in book.usable("app", set())} == {"a", "b", "c"}
+    directory_.update("a", row())
+    assert {e.name for e in directory_.usable("app", set())} == {"a", "b", "c"}
     # A row that stays away counts as removed before its time as a draining endpoint
     # is over.
     time.advance(0.4)
-    assert {e.name for e in book.usable("app", set())} == {"a", "c"}
+    assert {e.name for e in directory_.usable("app", set())} == {"a", "c"}
     # Without a store outage, a missing row means that its endpoint is leaving.
-    book.update("a", None)
-    assert {e.name for e in book.usable("app", set())} == {"c"}
+    directory_.update("a", None)
+    assert {e.name for e in directory_.usable("app", set())} == {"c"}
 
 
 def test_an_ejected_endpoint_is_probed_by_one_request_after_a_pause(
     time: clock.ManualClock,
 ) -> None:
-    book = directory.Directory(time, drain_s=2.0)
-    book.replace({"a": row()})
-    endpoint = book.usable("app", set())[0]
-    book.eject(endpoint, "refused")
-    assert book.is_ejected(endpoint, time.now())
+    directory_ = directory.Directory(time, drain_s=2.0)
+    directory_.replace({"a": row()})
+    endpoint = directory_.usable("app", set())[0]
+    directory_.eject(endpoint, "refused")
+    assert directory_.is_ejected(endpoint, time.now())
     time.advance(1.0)
-    assert not book.is_ejected(endpoint, time.now())
-    book.begin(endpoint, endpoint_state.Prompt(0.0, []))
-    assert book.is_ejected(endpoint, time.now())
+    assert not directory_.is_ejected(endpoint, time.now())
+    directory_.begin(endpoint, endpoint_state.Prompt(0.0, []))
+    assert directory_.is_ejected(endpoint, time.now())
     # The probe ended without a result; the next request may probe again.
-    book.end(endpoint)
-    assert not book.is_ejected(endpoint, time.now())
-    book.begin(endpoint, endpoint_state.Prompt(0.0, []))
-    book.answered(endpoint, failed=False)
+    directory_.end(endpoint)
+    assert not directory_.is_ejected(endpoint, time.now())
+    directory_.begin(endpoint, endpoint_state.Prompt(0.0, []))
+    directory_.answered(endpoint, failed=False)
     assert not endpoint.ejected_until
 
 
 def test_an_endpoint_that_fails_more_than_its_service_is_ejected(
     time: clock.ManualClock,
 ) -> None:
-    book = directory.Directory(time, drain_s=2.0)
-    book.replace({"a": row(), "b": row()})
-    grey, sound = book.usable("app", set())
+    directory_ = directory.Directory(time, drain_s=2.0)
+    directory_.replace({"a": row(), "b": row()})
+    failing, healthy = directory_.usable("app", set())
     for step in range(30):
-        book.answered(grey, failed=step % 2 == 0)
-        book.answered(sound, failed=False)
-    assert book.is_ejected(grey, time.now())
-    assert not book.is_ejected(sound, time.now())
+        directory_.answered(failing, failed=step % 2 == 0)
+        directory_.answered(healthy, failed=False)
+    assert directory_.is_ejected(failing, time.now())
+    assert not directory_.is_ejected(healthy, time.now())
 
 
 def test_an_endpoint_that_peers_find_unreachable_is_suspected_until_heard(
     time: clock.ManualClock,
 ) -> None:
-    book = directory.Directory(time, 2.0)
-    book.replace({f"e{n}": row() for n in range(6)})
-    first, second, *_ = book.usable("app", set())
+    directory_ = directory.Directory(time, 2.0)
+    directory_.replace({f"e{n}": row() for n in range(6)})
+    first, second, *_ = directory_.usable("app", set())
     time.advance(1.0)
-    book.apply_peer_unreachable("other", [first.name, second.name])
+    directory_.apply_peer_unreachable("other", [first.name, second.name])
     assert first.is_suspected and second.is_suspected
     time.advance(0.1)
-    book.heard(first)
-    book.apply_peer_unreachable("other", [first.name, second.name])
+    directory_.heard(first)
+    directory_.apply_peer_unreachable("other", [first.name, second.name])
     assert not first.is_suspected and second.is_suspected
-    book.apply_peer_unreachable("other", [])
+    directory_.apply_peer_unreachable("other", [])
     assert not second.is_suspected
     # A peer that finds most endpoints unreachable is cut off itself, so it is ignored.
     time.advance(1.0)
-    book.apply_peer_unreachable("other", [f"e{n}" for n in range(4)])
-    assert not any(e.is_suspected for e in book.usable("app", set()))
+    directory_.apply_peer_unreachable("other", [f"e{n}" for n in range(4)])
+    assert not any(e.is_suspected for e in directory_.usable("app", set()))
 
 
 def test_unread_prompts_are_counted_in_and_out(time: clock.ManualClock) -> None:
-    book = directory.Directory(time, drain_s=2.0)
-    book.replace({"a": row()})
-    endpoint = book.usable("app", set())[0]
-    book.begin(endpoint, endpoint_state.Prompt(500.0, []))
-    book.apply_peer_loads("other", {"a": endpoint_state.Load(2, 300.0)})
+    directory_ = directory.Directory(time, drain_s=2.0)
+    directory_.replace({"a": row()})
+    endpoint = directory_.usable("app", set())[0]
+    directory_.begin(endpoint, endpoint_state.Prompt(500.0, []))
+    directory_.apply_peer_loads("other", {"a": endpoint_state.Load(2, 300.0)})
     assert (endpoint.load, endpoint.backlog.told) == (3, 800.0)
-    assert book.unread(endpoint) == 800.0
-    book.read(endpoint, endpoint_state.Prompt(500.0, []))
-    book.end(endpoint)
-    book.apply_peer_loads("other", {})
+    assert directory_.unread(endpoint) == 800.0
+    directory_.read(endpoint, endpoint_state.Prompt(500.0, []))
+    directory_.end(endpoint)
+    directory_.apply_peer_loads("other", {})
     assert (endpoint.load, endpoint.backlog.told) == (0, 0.0)
-    assert book.unread(endpoint) == 0.0
+    assert directory_.unread(endpoint) == 0.0
 
 
 def candidate(
--- a/misc/proofs_gateway_endpoints.py
+++ b/misc/proofs_gateway_endpoints.py
@@ -118,7 +118,7 @@
         "what endpoints do not take in time is refused at once",
         "testpaced.py::test_requests_above_the_rate_limits_are_refused_as_not_run",
         "gateway_find.py",
-        "if self._queue.sent_at(call, place, turn) > latest_at:",
+        "if self._queue.expected_send_at(call, position, turn) > latest_at:",
         "if False:",
     ),
     proofs.gateway(
@@ -139,8 +139,8 @@
         "the most urgent that waits goes first",
         "testpaced.py::test_requests_are_queued_by_urgency_and_then_by_arrival",
         "paced_queue.py",
-        "place = Place(call.urgency, next(self._numbers))",
-        "place = Place(0, next(self._numbers))",
+        "position = Position(call.urgency, next(self._numbers))",
+        "position = Position(0, next(self._numbers))",
     ),
     proofs.gateway(
         "an endpoint that was out of sight counts as not warm",
