--- a/gaprock/gateway_choose.py
+++ b/gaprock/gateway_choose.py
@@ -242,8 +242,8 @@
         if endpoint.is_suspected:
             return not self._may_probe(call)
         if not self._directory.is_ejected(endpoint, now):
-            # The first request after a pause is a probe. It must be one that may
-            # be repeated.
+            # The first request after an ejection is a probe. It must be one that
+            # may be repeated.
             return bool(endpoint.ejected_until) and not call.route.repeatable
         if now < endpoint.ejected_until or endpoint.probe_in_flight:
             return True
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -198,7 +198,7 @@
         return gateway_call.GivenUp(errorcodes.NO_ENDPOINT, "all are dark", retry_s)
 
     def _no_permitted_hall(self, call: gateway_call.Call) -> gateway_call.GivenUp:
-        """Return the refusal of a call for which all halls are cordoned."""
+        """Return the refusal of a call whose permitted halls are all cordoned."""
         if call.has_run:
             return self.unknown(call, "halls emptied")
         retry_s = self._rng.uniform(*NO_HALL_RETRY_S)
--- a/gaprock/test/testrefusals.py
+++ b/gaprock/test/testrefusals.py
@@ -129,7 +129,7 @@
         allowed = [site.workspace(), site.template("small@1")]
         config_.apply(testconfig.delta_of(1, 0, *allowed))
 
-    def take(self, msg: messages.Message) -> None:
+    def receive(self, msg: messages.Message) -> None:
         self.hub._take([b"entry", messages.encode(msg)])
 
 
@@ -146,12 +146,12 @@
     rig = HubRig()
     for arrival in arrivals:
         if arrival == "start":
-            rig.take(testconfig.start_message("small@1", 1))
+            rig.receive(testconfig.start_message("small@1", 1))
         elif arrival == "cancel":
-            rig.take(messages.Cancel(1))
+            rig.receive(messages.Cancel(1))
         else:
             incarnation = "now" if arrival == "resume" else "old"
-            rig.take(messages.Resume(1, 0, incarnation))
+            rig.receive(messages.Resume(1, 0, incarnation))
     executor = getattr(rig.hub.gate, "_executor")
     executor.submit(lambda: None).result()
     executor.shutdown()
