--- a/gaprock/evidence.py
+++ b/gaprock/evidence.py
@@ -3,7 +3,7 @@
 Each process counts its own answers under its own source name.  Heartbeats carry the
 counters that changed, and a newer counter of a source replaces the older one, so
 duplicate and late heartbeats do no harm.  The sum over all sources is the evidence of
-the fleet, without a store.
+the fleet; no store is needed.
 """
 
 import threading
@@ -105,7 +105,7 @@
         """Return the sums over some sources of counters that changed after ``tick``.
 
         A sum of counters that only grow only grows itself, so it is sent like any other
-        counter.  If two processes send the sum, the one that knows more counts.
+        counter.  If two processes send a sum, the one with more answers is used.
 
         :param name: the source name of the sums.
         :param is_member: whether a source is included.
--- a/gaprock/gateway_quarantine.py
+++ b/gaprock/gateway_quarantine.py
@@ -43,11 +43,11 @@
         self,
         clock_: clock.Clock,
         directory_: directory.Directory,
-        book: quarantine.Quarantine,
+        quarantine_: quarantine.Quarantine,
     ) -> None:
         self._clock = clock_
         self._directory = directory_
-        self._quarantine = book
+        self._quarantine = quarantine_
         self._lock = threading.Lock()
         # Broken-off sends, by endpoints not yet known to have crashed or survived.
         self._broken_answers: dict[endpoint_state.Endpoint, list[BrokenAnswer]] = {}
@@ -153,7 +153,7 @@
     def resolve_broken(
         self, connects: typing.Callable[[endpoint_state.Endpoint], bool]
     ) -> None:
-        """Find out whether the endpoints of broken-off sends have crashed.
+        """Check whether the endpoints of broken-off sends have crashed.
 
         :param connects: tries to connect to an endpoint.
         """
--- a/gaprock/quarantine.py
+++ b/gaprock/quarantine.py
@@ -12,8 +12,8 @@
 None of this is stored: a gateway that starts learns what is held from the first
 heartbeats of any other gateway.
 
-This keeps one request from crashing a whole service without holding the bystanders,
-which had not just started at one crash after the other.
+This keeps one request from crashing a whole service.  Bystanders are not held, as they
+had not just started at several crashes.
 """
 
 import collections
@@ -41,9 +41,9 @@
 OPEN_WEIGHT: typing.Final = 1
 HELD_WEIGHT: typing.Final = 6
 # Where endpoints crash for other reasons too, a request can be open at several crashes
-# by chance.  For every so many recent crashes without the request, holding it takes
-# one more crash at which it had just started.  This protects bystanders when endpoints
-# crash one after the other.
+# by chance.  For every ``UNRELATED_CRASHES`` crashes without the request in the last
+# ``UNRELATED_CRASHES_S``, holding it takes one more crash at which it had just started.
+# This protects bystanders when endpoints crash one after the other.
 UNRELATED_CRASHES: typing.Final = 4
 UNRELATED_CRASHES_S: typing.Final = 10.0
 # How long a request is held after the last endpoint that it crashed.  Then it is tried
@@ -64,7 +64,8 @@
 MAX_INCARNATIONS: typing.Final = 8
 # Replaces the incarnations of a request whose hold has expired.
 EARLIER: typing.Final = "earlier"
-# A change is included in every heartbeat for this long, so that one may be lost.
+# A change is included in every heartbeat for this long, so that a heartbeat may get
+# lost.
 CHANGE_RESEND_S: typing.Final = 2.0
 # Everything held is sent to each peer at this interval, within the 3 s in which a
 # gateway has to know, and at most this many of the newest: 64 of them take 1.2 KB.
--- a/gaprock/rollout_evidence.py
+++ b/gaprock/rollout_evidence.py
@@ -30,8 +30,8 @@
         """Return what a sample holds against its version.
 
         :param kind: groups answers whose latencies are comparable.
-        :param is_new: whether the new version answered.  The latencies of the stable
-            version alone are learned.
+        :param is_new: whether the sample is of the new version.  Latencies are learned
+            from the stable version only.
         :returns: ``"failed"``, ``"slow"``, or empty for nothing; ``None`` for a send
             that has no answer and is not late yet.
         """
--- a/gaprock/rollout_state.py
+++ b/gaprock/rollout_state.py
@@ -78,7 +78,7 @@
         self.started_at = started_at
         self.pinned = rollout_sessions.PinnedSessions(session_s)
         self.state = State.RUNNING
-        # Halted by evidence, here or at a peer, even if the rows don't show it yet.
+        # Halted by evidence, here or at a peer, even if the rows do not show it yet.
         self.halted = False
         # The state in the outcome row; ``None`` while there is no row.
         self.written: State | None = None
--- a/gaprock/test/testownpoison.py
+++ b/gaprock/test/testownpoison.py
@@ -87,7 +87,8 @@
         threading.Event().wait(0.3)
         late = s.start_entry()
         site.wait_until(
-            lambda: late.quarantine.held_for_s(fingerprint) > 0, "it hears of it"
+            lambda: late.quarantine.held_for_s(fingerprint) > 0,
+            "the late entry holds it",
         )
 
 
