--- a/gaprock/mesh.py
+++ b/gaprock/mesh.py
@@ -1,17 +1,18 @@
-"""What gateways tell each other, directly: beats, and copies of the store's rows.
+"""Gossip between gateways: heartbeats, and copies of the store's rows (anti-entropy).
 
-Every gateway takes messages on one socket and has one more for each peer that it speaks
-to.  Beats carry loads, evidence and halts, so that these spread in a fraction of a
-second without a call to the store.  They go to the own hall; the hall's carriers also
-tell those of other halls, and pass on what they hear from there (``mesh_plan``,
-``mesh_halls``).  ``mesh_members`` says who is there, ``mesh_beats`` what a beat says.
-Beats also tell how new a gateway's rows are: one that the store does
-not answer asks a peer that is ahead for a copy.
+Each gateway receives messages on one socket and has one more socket for each peer that
+it sends to.  Heartbeats carry loads, evidence and halts, so these spread in a fraction
+of a second without a call to the store.  They go to the peers of the own hall; the
+hall's relays also exchange them with the relays of other halls, and forward what they
+receive (``mesh_plan``, ``mesh_halls``).  ``mesh_members`` keeps the membership,
+``mesh_beats`` builds the heartbeats.  Heartbeats also show how recent a gateway's rows
+are: a gateway that gets no answer from the store asks a peer that is ahead for a copy.
 
-Peers are found once, through rows in the shared store; a gateway that starts later
-tells the ones that it finds there, and they answer with beats of their own.
+Peers are discovered once, through rows in the shared store.  A gateway that starts
+later sends heartbeats to the peers that it finds there, and they answer with their own.
 
-Guards against traffic that grows with the square of the gateways.
+In names, *near* stands for the own hall and *far* for the other halls.  All of this
+keeps the traffic from growing with the square of the number of gateways.
 """
 
 import collections
@@ -35,32 +36,36 @@
     rollouts,
 )
 
-# An address at which nobody was heard is forgotten after this time, seconds; one at
-# which a peer was heard much later, since after a cut of minutes, in which both forgot
-# each other, neither would look for the other again.
+# An address in the own hall from which nothing was ever heard is dropped after
+# ``FORGET_S``.  A peer that was heard, or is in another hall, is kept for
+# ``FORGET_HEARD_S``: after a partition of minutes, in which both had dropped each
+# other, neither would reconnect.
 FORGET_S: typing.Final = 30.0
 FORGET_HEARD_S: typing.Final = 3600.0
-# A socket to another hall that was not used for this long is closed, seconds.
+# A socket to another hall that has not been used for this long is closed.
 UNUSED_S: typing.Final = 5.0
-# Messages that may wait for a peer; more are dropped, since the next beat has it all.
+# Messages queued for a peer.  Further ones are dropped, since the next heartbeat
+# carries everything.
 HIGH_WATER: typing.Final = 20
-# Pauses before a lost connection is opened again, milliseconds.
+# Delays before a lost connection is reopened: the first one, and the maximum.
 RECONNECT_MS: typing.Final = 200
 RECONNECT_MAX_MS: typing.Final = 2000
-# A connection on which a peer's socket answers nothing for this long, after a pause as
-# long, is opened anew, milliseconds.  One that had gone silent for good took every beat
-# and gave none to the peer; a ping and its answer are about 20 bytes.
+# Interval of ZeroMQ's own heartbeats on a connection, and the time after which one that
+# is not answered closes it; it is then reopened.  A connection that had gone silent for
+# good accepted every message and delivered none.  ZeroMQ's heartbeat and the answer to
+# it are about 20 bytes.
 HEARTBEAT_MS: typing.Final = 1000
-# Pause before rows are asked for again, seconds, and the peers that are asked for the
-# same table within it: all peers' copies of large tables at once would hold up a start.
+# Interval between two requests for rows, and the number of peers that are asked for the
+# same table within it: copies of large tables from all peers at once would delay a
+# start.
 ASK_PAUSE_S: typing.Final = 0.5
-ASKED_AT_ONCE: typing.Final = 2
-# Stands for the configuration among the numbers of tables that are asked for.
-CONFIG: typing.Final = -1
+MAX_PEERS_ASKED: typing.Final = 2
+# Stands for the configuration among the numbers of requested tables.
+CONFIG_TABLE: typing.Final = -1
 
 
 class Mesh(mesh_beats.BeatWriter):
-    """Our side of the talk between gateways; one thread, besides the readers."""
+    """This gateway's part in the gossip; one thread, besides those of the readers."""
 
     def __init__(
         self,
@@ -78,13 +83,13 @@
         )
         self._stopped = False
         self._thread: threading.Thread | None = None
-        # When peers were asked for each table, the latest ones.
-        self._asks: dict[int, list[float]] = collections.defaultdict(list)
-        # What everybody must know at once, as it was at the last look.
+        # Times of the latest requests to peers, by table.
+        self._requested_at: dict[int, list[float]] = collections.defaultdict(list)
+        # Our urgent state (see ``_urgent_news``) as of the last check.
         self._urgent: object = None
         self._handlers: dict[type, typing.Callable[[typing.Any], None]] = {
             mesh_messages.Beat: self._on_beat,
-            mesh_messages.RowsWanted: self._on_wanted,
+            mesh_messages.RowsWanted: self._on_rows_wanted,
             mesh_messages.Rows: self._on_rows,
             mesh_messages.ConfigWanted: self._on_config_wanted,
             mesh_messages.ConfigCopy: self._on_config,
@@ -93,14 +98,14 @@
     # -- For other threads --
 
     def start(self) -> None:
-        """Begin to listen and to beat; without an address there is no mesh."""
+        """Start receiving and sending heartbeats; without an address do nothing."""
         if not self.address:
             return
         self._thread = threading.Thread(target=self._run, name="mesh", daemon=True)
         self._thread.start()
 
     def stop(self) -> None:
-        """Say that we leave, and end."""
+        """Announce that we leave, and end the thread."""
         self.leaving = True
         self._stopped = True
         if self._thread is not None:
@@ -113,33 +118,33 @@
         inbox = context.socket(zmq.PULL)
         inbox.setsockopt(zmq.LINGER, 0)
         inbox.bind(self.address)
-        look_at = self._clock.now()
+        next_run_at = self._clock.now()
         while not self._stopped:
-            self._connect_found(context)
+            self._connect_new(context)
             now = self._clock.now()
-            if now >= look_at or self._urgent_news() != self._urgent:
-                look_at = now + mesh_peers.BUSY_BEAT_S
-                self._look(context, now)
+            if now >= next_run_at or self._urgent_news() != self._urgent:
+                next_run_at = now + mesh_peers.BUSY_BEAT_S
+                self._run_due_tasks(context, now)
             if inbox.poll(int(mesh_peers.BUSY_BEAT_S * 1000)):
                 self._read_all(inbox)
-        self._beat(self._spoken_to(), self._clock.now(), [])
+        self._send_heartbeats(self._connected_peers(), self._clock.now(), [])
         for peer in self._peers.values():
             if peer.sock is not None:
                 peer.sock.close(linger=100)
         inbox.close()
         context.term()
 
-    def _look(self, context: typing.Any, now: float) -> None:
-        """Do what is due now."""
+    def _run_due_tasks(self, context: typing.Any, now: float) -> None:
+        """Run everything that is due now."""
         self._urgent = self._urgent_news()
-        self._choose_far(context, now)
-        self._beat_where_due(now)
+        self._select_far_peers(context, now)
+        self._send_due_heartbeats(now)
         self._forget_silent()
         self.halls.forget_silent(now)
         self._count_members(now)
-        self._note_answered(now)
+        self._track_store_answers(now)
 
-    def _connect_found(self, context: typing.Any) -> None:
+    def _connect_new(self, context: typing.Any) -> None:
         with self._lock:
             found, self._new_addresses = self._new_addresses, []
         for one in found:
@@ -159,117 +164,128 @@
         try:
             sock.connect(address)
         except zmq.ZMQError as exc:
-            # An address that somebody else wrote; the talk with all others goes on.
+            # Another gateway wrote this address; a bad one must not end the gossip with
+            # all others.
             eventlog.warning("peer-address", address=address, error=exc)
             sock.close(linger=0)
             return None
         return sock
 
-    # -- Whom we speak to --
+    # -- Selection of the peers to send to --
 
-    def _choose_far(self, context: typing.Any, now: float) -> None:
-        """Connect to the gateways of other halls that we speak to, if we carry."""
-        carrying = set()
+    def _select_far_peers(self, context: typing.Any, now: float) -> None:
+        """Connect to the gateways of other halls that we send to, as a relay or not."""
+        relay_addresses = set()
         for hall, hall_relays in self.halls.hall_relays().items():
             for hall_relay in hall_relays:
-                self._note_carrier(hall_relay, hall, now)
-                carrying.add(hall_relay.address)
-        self._note_carrying(self.name in self._carriers(now))
-        if self._carried:
-            chosen = mesh_plan.targets(self._far(), carrying, now)
+                self._record_relay(hall_relay, hall, now)
+                relay_addresses.add(hall_relay.address)
+        self._set_relay_role(self.name in self._own_hall_relays(now))
+        if self._is_relay:
+            chosen = mesh_plan.targets(self._far(), relay_addresses, now)
         else:
-            chosen = mesh_plan.to_correct(self._far(), now)
+            chosen = mesh_plan.misdirected_senders(self._far(), now)
         for peer in chosen:
-            peer.used_at = now
+            peer.last_selected_at = now
             if peer.sock is None:
                 peer.sock = self._connect(context, peer.address)
         for peer in self._far():
-            if peer.sock is not None and now > peer.used_at + UNUSED_S:
+            if peer.sock is not None and now > peer.last_selected_at + UNUSED_S:
                 peer.sock.close(linger=0)
                 peer.sock = None
 
-    def _note_carrying(self, carries: bool) -> None:
-        if carries is self._carried:
+    def _set_relay_role(self, is_relay: bool) -> None:
+        if is_relay is self._is_relay:
             return
-        self._carried = carries
-        eventlog.info("carries", hall=self.hall, carries=carries)
+        self._is_relay = is_relay
+        eventlog.info("carries", hall=self.hall, carries=is_relay)
         for peer in self._near():
-            # What the carrier before us had not passed on yet goes now.
-            peer.tick = 0
+            # Send all evidence again: the relay before us may not have forwarded it
+            # all.
+            peer.evidence_tick = 0
 
-    def _note_carrier(
-        self, hall_relay: mesh_messages.Carrier, hall: str, now: float
+    def _record_relay(
+        self, hall_relay: mesh_messages.HallRelay, hall: str, now: float
     ) -> None:
-        """Keep the address of a carrier that its hall's summary names."""
+        """Record the address of a relay that its hall's summary names."""
         peer = self._peers.get(hall_relay.address)
         if peer is None:
             peer = mesh_peers.Peer(hall_relay.name, hall_relay.address, None, now, hall)
             with self._lock:
                 self._peers[hall_relay.address] = peer
-        peer.name, peer.heard_at = hall_relay.name, now
+        peer.name, peer.last_seen_at = hall_relay.name, now
 
-    def _spoken_to(self) -> list[mesh_peers.Peer]:
+    def _connected_peers(self) -> list[mesh_peers.Peer]:
         return [peer for peer in self._peers.values() if peer.sock is not None]
 
-    # -- Beats --
+    # -- Heartbeats --
 
-    def _beat_where_due(self, now: float) -> None:
+    def _send_due_heartbeats(self, now: float) -> None:
         near_news, far_news = self._near_news(), self._far_news(now)
-        passing = self.halls.summaries_to_forward(now) if self._carried else []
-        spoken_to = self._spoken_to()
-        far_count = sum(self._is_far(peer) for peer in spoken_to)
-        near_s = mesh_peers.near_pause(len(spoken_to) - far_count)
+        forwarded = self.halls.summaries_to_forward(now) if self._is_relay else []
+        connected = self._connected_peers()
+        far_count = sum(self._is_far(peer) for peer in connected)
+        near_s = mesh_peers.near_pause(len(connected) - far_count)
         idle_s = mesh_peers.NEAR_IDLE_S
         if not self._is_among_first():
             idle_s = max(idle_s, near_s)
         far_s = mesh_peers.far_pause(far_count)
         due = []
-        for peer in spoken_to:
+        for peer in connected:
             if not self._is_far(peer):
-                is_due = bool(passing) or mesh_peers.is_due(
+                is_due = bool(forwarded) or mesh_peers.is_due(
                     peer, now, near_news, near_s, idle_s
                 )
             else:
-                is_due = now <= peer.used_at and mesh_peers.is_due(
+                is_due = now <= peer.last_selected_at and mesh_peers.is_due(
                     peer, now, far_news, far_s, mesh_peers.IDLE_BEAT_S
                 )
             if is_due:
                 due.append(peer)
-        for peer in self._beat(due, now, passing):
-            peer.told = far_news if self._is_far(peer) else near_news
+        for peer in self._send_heartbeats(due, now, forwarded):
+            peer.last_sent = far_news if self._is_far(peer) else near_news
 
-    def _beat(
+    def _send_heartbeats(
         self,
         peers: list[mesh_peers.Peer],
         now: float,
-        passing: list[mesh_messages.HallNews],
+        forwarded: list[mesh_messages.HallNews],
     ) -> list[mesh_peers.Peer]:
-        """Send beats, and give the peers that were reached."""
+        """Send heartbeats, and return the peers that were reached."""
         if not peers:
             return []
-        round_ = _BeatRound(self._near_beat(passing))
+        round_ = _BeatRound(self._near_beat(forwarded))
         if any(self._is_far(peer) for peer in peers):
             round_.far = self._far_beat(now)
-        is_direct = len(self._living_near()) < mesh_plan.CARRIERS
-        tells_prompts = not self._is_crowded()
+        all_are_relays = len(self._living_near()) < mesh_plan.RELAYS_PER_HALL
+        may_send_prompts = not self._is_large_hall()
         reached = []
         for peer in peers:
             is_far = self._is_far(peer)
-            include_held = now >= peer.held_told_at + quarantine.HELD_RESEND_S
-            # Where each gateway carries, all tell all; else prompts stay in the hall:
-            # few requests leave it, and they were a quarter of the bytes.
-            is_told = tells_prompts and (is_direct or not is_far)
-            key = (is_far, peer.tick, peer.prompts if is_told else -1, include_held)
+            include_held = now >= peer.held_sent_at + quarantine.HELD_RESEND_S
+            # Where each gateway is a relay, all send everything to all.  Otherwise
+            # prompts stay in the hall: few requests leave it, and prompts were a
+            # quarter of the bytes.
+            sends_prompts = may_send_prompts and (all_are_relays or not is_far)
+            key = (
+                is_far,
+                peer.evidence_tick,
+                peer.prompts_sent if sends_prompts else -1,
+                include_held,
+            )
             if key not in round_.encoded:
                 round_.encoded[key] = self._encode_for(
-                    round_, peer, is_told, include_held
+                    round_, peer, sends_prompts, include_held
                 )
             encoded = round_.encoded[key]
             if self._send_bytes(peer, encoded.data):
-                peer.tick, peer.prompts = encoded.tick, encoded.prompts
-                peer.beat_at = now
+                peer.evidence_tick, peer.prompts_sent = (
+                    encoded.evidence_tick,
+                    encoded.prompt_count,
+                )
+                peer.last_sent_at = now
                 if include_held:
-                    peer.held_told_at = now
+                    peer.held_sent_at = now
                 reached.append(peer)
         return reached
 
@@ -277,20 +293,20 @@
         self,
         round_: "_BeatRound",
         peer: mesh_peers.Peer,
-        is_told: bool,
+        sends_prompts: bool,
         include_held: bool,
     ) -> "_EncodedBeat":
-        """Write the beat of a peer, which is that of all who were told the same."""
-        tick, counters = self._evidence.since(peer.tick)
-        prompt_count, prompts = self._directory.prompts_since(peer.prompts)
+        """Encode a peer's heartbeat, for all peers that were sent the same before."""
+        evidence_tick, counters = self._evidence.since(peer.evidence_tick)
+        prompt_count, prompts = self._directory.prompts_since(peer.prompts_sent)
         beat = msgspec.structs.replace(
             round_.far if self._is_far(peer) and round_.far else round_.near,
-            prompts=prompts if is_told else [],
+            prompts=prompts if sends_prompts else [],
             evidence=self._evidence_for(peer, counters),
             suspects=self._suspects_for(peer, include_held),
-            fleet=self._counted.value,
+            fleet=self._counted_peak.value,
         )
-        return _EncodedBeat(mesh_messages.encode(beat), tick, prompt_count)
+        return _EncodedBeat(mesh_messages.encode(beat), evidence_tick, prompt_count)
 
     def _send(self, peer: mesh_peers.Peer, message: mesh_messages.Message) -> bool:
         return self._send_bytes(peer, mesh_messages.encode(message))
@@ -302,7 +318,7 @@
             return False
         return True
 
-    # -- What comes --
+    # -- Received messages --
 
     def _read_all(self, inbox: typing.Any) -> None:
         while True:
@@ -310,9 +326,9 @@
                 data = inbox.recv(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            self._take(data)
+            self._handle(data)
 
-    def _take(self, data: bytes) -> None:
+    def _handle(self, data: bytes) -> None:
         try:
             message = mesh_messages.decode(data)
         except msgspec.DecodeError as exc:
@@ -329,14 +345,14 @@
                 )
             return
         if peer.beat is None or peer.beat.incarnation != beat.incarnation:
-            # A new process knows nothing of what the old one was told.
-            peer.tick, peer.told = 0, mesh_peers.News((), ())
-            peer.prompts = 0
-            peer.held_told_at = -clock.NEVER
+            # A new incarnation has nothing of what was sent to the one before.
+            peer.evidence_tick, peer.last_sent = 0, mesh_peers.BeatContent((), ())
+            peer.prompts_sent = 0
+            peer.held_sent_at = -clock.NEVER
             eventlog.info("peer-heard", peer=beat.sender, address=beat.address)
         now = self._clock.now()
         peer.name, peer.hall = beat.sender, beat.hall
-        peer.beat, peer.heard_at, peer.spoke_at = beat, now, now
+        peer.beat, peer.last_seen_at, peer.last_heartbeat_at = beat, now, now
         if not self._is_far(peer):
             self._directory.apply_peer_loads(beat.sender, beat.loads)
             self._directory.apply_peer_unreachable(
@@ -346,18 +362,18 @@
             self._directory.apply_peer_departures(beat.sender, beat.departing)
         self._directory.apply_peer_prompts(beat.prompts)
         self._quarantine.take(beat.suspects, self._is_far(peer))
-        self._told_most.note(beat.fleet, now)
+        self._reported_peak.note(beat.fleet, now)
         for hall in beat.halls:
-            self.halls.take(hall, now, is_passed_on=not self._is_far(peer))
+            self.halls.take(hall, now, is_forwarded=not self._is_far(peer))
         for news in beat.rollouts:
             self._rollouts.merge_reported(news, now, beat.sender)
         if beat.evidence and self._evidence.merge(beat.evidence):
             self._rollouts.learn_routes(beat.evidence)
             self._rollouts.look()
-        self._take_tables(peer, now)
+        self._exchange_tables(peer, now)
 
-    def _take_tables(self, peer: mesh_peers.Peer, now: float) -> None:
-        """Take what a peer knows of the tables, and ask for those that help."""
+    def _exchange_tables(self, peer: mesh_peers.Peer, now: float) -> None:
+        """Record which rows a peer has, and request the copies that would help us."""
         assert peer.beat is not None
         if self.source is None:
             return
@@ -366,7 +382,7 @@
         for table, news in enumerate(peer.beat.tables):
             age_s = peer.beat.epoch_age_s
             helps = self.source.record_news(table, news, is_other, age_s)
-            if helps and may_ask and self._claim_ask(table, now):
+            if helps and may_ask and self._reserve_request(table, now):
                 peer.asked_at = now
                 epoch, since = self.source.delta_base(table)
                 wanted = mesh_messages.RowsWanted(self.address, table, since, epoch)
@@ -376,19 +392,19 @@
             return
         orders = tables[mesh_messages.ORDERS]
         if self.source.lacks_config(peer.beat.config, orders):
-            if self._claim_ask(CONFIG, now):
+            if self._reserve_request(CONFIG_TABLE, now):
                 self._send(peer, mesh_messages.ConfigWanted(self.address))
 
-    def _claim_ask(self, table: int, now: float) -> bool:
-        """Whether one more peer may be asked for a table now."""
-        lately = [at for at in self._asks[table] if now < at + ASK_PAUSE_S]
-        self._asks[table] = lately
-        if len(lately) >= ASKED_AT_ONCE:
+    def _reserve_request(self, table: int, now: float) -> bool:
+        """Count a request for a table; return whether it may be sent now."""
+        recent = [at for at in self._requested_at[table] if now < at + ASK_PAUSE_S]
+        self._requested_at[table] = recent
+        if len(recent) >= MAX_PEERS_ASKED:
             return False
-        lately.append(now)
+        recent.append(now)
         return True
 
-    def _on_wanted(self, wanted: mesh_messages.RowsWanted) -> None:
+    def _on_rows_wanted(self, wanted: mesh_messages.RowsWanted) -> None:
         peer = self._peers.get(wanted.address)
         if peer is not None and peer.sock is not None and self.source is not None:
             rows = self.source.copy(wanted.table, wanted.since, wanted.epoch)
@@ -411,14 +427,14 @@
     def _forget_silent(self) -> None:
         now = self._clock.now()
         for peer in list(self._peers.values()):
-            silent_s = now - peer.heard_at
-            if silent_s > mesh_members.SILENT_S and peer.beat is not None:
+            silent_s = now - peer.last_seen_at
+            if silent_s > mesh_members.PEER_TIMEOUT_S and peer.beat is not None:
                 eventlog.warning("peer-silent", peer=peer.name, silent_s=silent_s)
                 self._directory.apply_peer_loads(peer.name, {})
                 self._directory.apply_peer_unreachable(peer.name, ())
                 self._directory.pacer.record_news(peer.name, 1, [])
                 peer.beat = None
-            # One in another hall has no socket unless it is tried.
+            # A peer in another hall has a socket only while it is sent to.
             is_kept = peer.name or self._is_far(peer)
             if silent_s > (FORGET_HEARD_S if is_kept else FORGET_S):
                 if peer.sock is not None:
@@ -428,19 +444,19 @@
 
 
 class _EncodedBeat(typing.NamedTuple):
-    """A beat as it goes out.
+    """An encoded heartbeat.
 
-    :param tick: the evidence that it brings its peer up to.
-    :param prompts: the count of prompts that it brings its peer up to.
+    :param evidence_tick: the tick of the evidence that its peer then has.
+    :param prompt_count: how many of our prompts its peer then has.
     """
 
     data: bytes
-    tick: int
-    prompts: int
+    evidence_tick: int
+    prompt_count: int
 
 
 class _BeatRound:
-    """The beats of one round, by what their peers were told before."""
+    """The heartbeats of one round, by what their peers were sent before."""
 
     __slots__ = ("near", "far", "encoded")
 
@@ -451,11 +467,11 @@
 
 
 def push_socket(context: typing.Any) -> typing.Any:
-    """Make the socket for what one peer is told."""
+    """Create the socket for messages to one peer."""
     sock = context.socket(zmq.PUSH)
     sock.setsockopt(zmq.LINGER, 0)
     sock.setsockopt(zmq.SNDHWM, HIGH_WATER)
-    # Without a connection nothing is kept: a beat is old when it comes late.
+    # Queue nothing without a connection: a heartbeat that arrives late is out of date.
     sock.setsockopt(zmq.IMMEDIATE, 1)
     sock.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
     sock.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
--- a/gaprock/mesh_beats.py
+++ b/gaprock/mesh_beats.py
@@ -1,4 +1,4 @@
-"""What beats say: to the own hall of this gateway alone, to other halls a summary."""
+"""Contents of heartbeats: own state for the own hall, a summary for other halls."""
 
 import typing
 
@@ -19,37 +19,37 @@
 
 
 class RowSource(typing.Protocol):
-    """The followers' side: rows to copy, and where copies go."""
+    """The followers' side of anti-entropy: rows to copy, and where copies go."""
 
     def news(self) -> list[mesh_messages.TableNews]:
-        """Give what is known of each table."""
+        """Return what is known of each table."""
 
     def epoch_age_s(self) -> int:
-        """Give the seconds since we first heard of the store's epoch."""
+        """Return the seconds since we first learned of the store's epoch."""
 
     def own_verified_at(self) -> list[float]:
-        """Give the newest proofs of our own calls, by table."""
+        """Return the store times of our own calls' latest verifications, by table."""
 
     def has_store(self) -> bool:
-        """Whether the store answers us; one that rests reads when it has to."""
+        """Whether the store answers us; true on standby too, as we can read again."""
 
     def reads_store(self) -> bool:
         """Whether we read the store ourselves, and it answers."""
 
     def config_number(self) -> int:
-        """Give the number of the configuration in force."""
+        """Return the number of the configuration in force."""
 
     def lacks_config(self, number: int, orders: mesh_messages.TableNews) -> bool:
-        """Whether a peer has a newer configuration that its rows do not bring us."""
+        """Whether a peer has a newer configuration that a copy of its rows lacks."""
 
     def config_copy(self) -> mesh_messages.ConfigCopy | None:
-        """Give the configuration in force."""
+        """Return the configuration in force."""
 
     def apply_config(self, copy: mesh_messages.ConfigCopy) -> None:
-        """Take a peer's configuration."""
+        """Apply a peer's configuration."""
 
     def delta_base(self, table: int) -> tuple[int, int]:
-        """Give the epoch and version after which a table's changes help us."""
+        """Return the epoch and version after which we need a table's changes."""
 
     def record_news(
         self,
@@ -58,17 +58,17 @@
         is_far: bool,
         epoch_age_s: float,
     ) -> bool:
-        """Take what a peer knows; give whether its copy would help."""
+        """Record what a peer knows of a table; return whether its copy would help."""
 
     def copy(self, table: int, since: int, epoch: int) -> mesh_messages.Rows:
-        """Give a table, or what has changed in it after a version."""
+        """Return a table, or its changes after a version."""
 
     def apply_copy(self, rows: mesh_messages.Rows) -> None:
-        """Take a table from a peer."""
+        """Apply a peer's copy of a table, or of its changes."""
 
 
 class BeatWriter(mesh_members.Members):
-    """Writes beats, and says which of them are worth sending."""
+    """Builds heartbeats, and decides which of them are worth sending."""
 
     def __init__(
         self,
@@ -81,20 +81,20 @@
         evidence_: evidence.EvidenceBook,
         quarantine_: quarantine.Quarantine,
     ) -> None:
-        halls = mesh_halls.HallBook(hall, directory_, rollouts_)
+        halls = mesh_halls.HallSummaries(hall, directory_, rollouts_)
         super().__init__(name, hall, address, clock_, halls)
         self._directory = directory_
         self._rollouts = rollouts_
         self._evidence = evidence_
         self._quarantine = quarantine_
-        # Given once the rows are followed.
+        # Set once the tables are followed.
         self.source: RowSource | None = None
         self._incarnation = ids.new_token()
 
     def _urgent_news(self) -> object:
-        """Give what everybody must know at once."""
+        """Return the part of our state that every gateway must learn at once."""
         rolls = self._rollouts.all()
-        halts = [(r.order.service, r.revision, r.halted) for r in rolls]
+        halt_states = [(r.order.service, r.revision, r.halted) for r in rolls]
         reachability = (
             self._directory.unreachable_endpoints(),
             self._directory.doubted(),
@@ -103,7 +103,7 @@
         limits = sorted(one.urgent for one in self._directory.pacer.news())
         departures = self._urgent_departures()
         return (
-            halts,
+            halt_states,
             self._has_store(),
             self.leaving,
             reachability,
@@ -115,29 +115,31 @@
     def _urgent_departures(self) -> list[tuple[str, bool]]:
         return sorted(one.urgent for one in self._directory.departure_news())
 
-    def _near_news(self) -> mesh_peers.News:
-        """Give what is worth a beat to the own hall before the idle one is due."""
+    def _near_news(self) -> mesh_peers.BeatContent:
+        """Return what justifies a heartbeat to the own hall before the idle one."""
         rolls = self._rollout_news()
         moving = [(n.on_old, n.kept) for n in rolls]
-        tick, _ = self._evidence.since(1 << 60)
+        evidence_tick, _ = self._evidence.since(1 << 60)
         versions = [table.point for table in self._tables()]
-        # Who has a change from the store tells it at once; who has it from a peer need
-        # not, or each change would set all gateways of a hall talking.
+        # A gateway that read a change from the store reports it at once.  One that has
+        # it from a peer does not, or each change would make all gateways of a hall
+        # send.
         told = versions if self.source is not None and self.source.reads_store() else []
-        halts = mesh_messages.halts(rolls)
-        proofs = self._proofs()
+        halt_states = mesh_messages.halt_states(rolls)
+        verified_times = self._verified_times()
         unreachable_endpoints = self._directory.unreachable_endpoints()
         state = (self._has_store(), self.leaving)
-        held, suspected = self._suspect_ticks(is_far=False)
+        held, suspected = self._quarantine_changes(is_far=False)
         limits = self._directory.pacer.news()
         named = sorted(one.urgent for one in limits)
         wanted = sorted((one.endpoint, one.wanted_per_s) for one in limits)
-        # In a large hall each finds for itself what is dark, and all tell all of it.
-        is_urgent = not self._is_crowded()
-        return mesh_peers.News(
+        # Not urgent in a large hall: each gateway there finds the unreachable endpoints
+        # by itself, and all would report them to all others at once.
+        is_urgent = not self._is_large_hall()
+        return mesh_peers.BeatContent(
             (
                 (
-                    halts,
+                    halt_states,
                     told,
                     state,
                     held,
@@ -149,8 +151,8 @@
             (
                 self._near_loads(),
                 moving,
-                tick,
-                proofs,
+                evidence_tick,
+                verified_times,
                 suspected,
                 versions,
                 unreachable_endpoints,
@@ -159,46 +161,46 @@
         )
 
     def _near_loads(self) -> dict[str, endpoint_state.Load]:
-        """Give what we have at endpoints, where a hall is small enough to tell it."""
-        return {} if self._is_crowded() else self._directory.own_loads()
+        """Return our loads at endpoints; none in a hall too large to report them."""
+        return {} if self._is_large_hall() else self._directory.own_loads()
 
     def _is_among_first(self) -> bool:
-        """Whether we are among the first of our hall by name, who are watched."""
+        """Whether we are among our hall's first by name: possible relays or readers."""
         before = sum(peer.name < self.name for peer in self._living_near())
-        return before < mesh_peers.FIRST_FEW
+        return before < mesh_peers.FREQUENT_SENDERS
 
-    def _far_news(self, now: float) -> mesh_peers.News:
-        """Give what is worth a beat to other halls before the idle one is due.
+    def _far_news(self, now: float) -> mesh_peers.BeatContent:
+        """Return what justifies a heartbeat to other halls before the idle one.
 
-        Changes of the endpoints' rows can wait for it: each hall reads them itself.
+        Changes of the endpoints' rows can wait for that: each hall reads them itself.
         """
-        if not self._carried:
-            return mesh_peers.News((), ())
+        if not self._is_relay:
+            return mesh_peers.BeatContent((), ())
         hall = self._hall_news(now)
         tables = self._tables()
         orders = tables[0].point if tables else (0, 0)
         moving = [(roll.on_old, roll.kept) for roll in hall.rollouts]
-        tick, _ = self._evidence.since(1 << 60)
-        proofs = self._proofs()
-        held, suspected = self._suspect_ticks(is_far=True)
+        evidence_tick, _ = self._evidence.since(1 << 60)
+        verified_times = self._verified_times()
+        held, suspected = self._quarantine_changes(is_far=True)
         wanted = [(one.endpoint, one.wanted_per_s) for one in hall.limits]
-        return mesh_peers.News(
+        return mesh_peers.BeatContent(
             (hall.urgent, orders, self.leaving, held),
-            (hall.loads, moving, tick, proofs, suspected, wanted),
+            (hall.loads, moving, evidence_tick, verified_times, suspected, wanted),
         )
 
     def _hall_news(self, now: float) -> mesh_messages.HallNews:
-        """Sum our hall up."""
+        """Return the summary of our hall."""
         near = self._living_near()
         beats = [peer.beat for peer in near if peer.beat is not None]
-        names = self._carriers(now)
+        names = self._own_hall_relays(now)
         hall_relays = [
-            mesh_messages.Carrier(peer.name, peer.address)
+            mesh_messages.HallRelay(peer.name, peer.address)
             for peer in near
             if peer.name in names
         ]
         if self.name in names and not self.leaving:
-            hall_relays.append(mesh_messages.Carrier(self.name, self.address))
+            hall_relays.append(mesh_messages.HallRelay(self.name, self.address))
         hall_relays.sort(key=lambda hall_relay: hall_relay.name)
         loads = [self._near_loads(), *(beat.loads for beat in beats)]
         rolls = [self._rollout_news(), *(beat.rollouts for beat in beats)]
@@ -208,7 +210,7 @@
             hall_relays,
             len(near) + (not self.leaving),
             self._has_store() or any(beat.has_store for beat in beats),
-            mesh_halls.heaviest(mesh_halls.sum_loads(loads)),
+            mesh_halls.most_loaded(mesh_halls.sum_loads(loads)),
             self._directory.found_unreachable([peer.name for peer in near]),
             mesh_halls.sum_rollouts(rolls),
             mesh_halls.sum_wanted_rates(
@@ -217,11 +219,11 @@
             self._directory.departure_news(),
         )
 
-    def _proofs(self) -> list[float]:
-        """Give the proofs of our own calls; a carrier's are also those it was told."""
+    def _verified_times(self) -> list[float]:
+        """Return when our calls verified the tables; a relay's, also peers' calls."""
         if self.source is None:
             return []
-        if self._carried:
+        if self._is_relay:
             return [table.verified_store_time for table in self._tables()]
         return self.source.own_verified_at()
 
@@ -252,7 +254,7 @@
             for r in self._rollouts.all()
         ]
 
-    def _near_beat(self, passing: list[mesh_messages.HallNews]) -> mesh_messages.Beat:
+    def _near_beat(self, forwarded: list[mesh_messages.HallNews]) -> mesh_messages.Beat:
         return mesh_messages.Beat(
             self.name,
             self.hall,
@@ -266,7 +268,7 @@
             self._rollout_news(),
             [],
             self.leaving,
-            passing,
+            forwarded,
             limits=self._directory.pacer.news(),
             departing=self._directory.departure_news(),
             epoch_age_s=self._epoch_age_s(),
@@ -295,22 +297,25 @@
     def _suspects_for(
         self, peer: mesh_peers.Peer, include_held: bool
     ) -> list[quarantine.SuspectUpdate]:
-        """Give the suspected requests that a peer does not hear of from others.
+        """Return the suspected requests that a peer does not learn of from others.
 
-        :param include_held: whether to tell all that is held, as everybody does now and
-            then for one that starts, or to which the way was cut.
+        :param include_held: whether to include all requests in quarantine, as every
+            gateway does now and then for peers that start, or that were cut off.
         """
         return self._quarantine.news(self._origins(self._is_far(peer)), include_held)
 
-    def _suspect_ticks(self, is_far: bool) -> tuple[list[int], list[int]]:
-        """Count what a peer hears from us first: what is held, what is suspected."""
+    def _quarantine_changes(self, is_far: bool) -> tuple[list[int], list[int]]:
+        """Return counters of the changes in quarantine that a peer gets from us.
+
+        :returns: of the held requests, and of the suspected ones.
+        """
         origins, book = self._origins(is_far), self._quarantine
         held = [book.held_changes[origin] for origin in origins]
         return held, [book.changes[origin] for origin in origins]
 
     def _origins(self, is_far: bool) -> tuple[quarantine.Origin, ...]:
-        """Say where the changes come from that a peer is to hear from us."""
-        if not self._carried:
+        """Return the origins of the changes that a peer gets from us."""
+        if not self._is_relay:
             return (quarantine.Origin.OWN,)
         other = quarantine.Origin.NEAR if is_far else quarantine.Origin.FAR
         return (quarantine.Origin.OWN, other)
@@ -318,11 +323,11 @@
     def _evidence_for(
         self, peer: mesh_peers.Peer, counters: list[messages.Evidence]
     ) -> list[messages.Evidence]:
-        """Give the counters that a peer does not hear from others.
+        """Return the counters that a peer does not get from others.
 
-        Another hall hears the sums of our hall from its carriers, since a rollout has
-        some 14 counters a gateway; the own hall hears each gateway's from itself and,
-        if we carry, other halls' sums from us.
+        Another hall gets only the sums of our hall, from our relays, since a rollout
+        has some 14 counters for each gateway.  The own hall gets each gateway's
+        counters from that gateway and, if we are a relay, other halls' sums from us.
         """
         near = {self.name, *(one.name for one in self._near())}
 
@@ -331,10 +336,10 @@
 
         if self._is_far(peer):
             name = mesh_halls.source_name(self.hall)
-            return self._evidence.sums_since(peer.tick, name, is_near)
+            return self._evidence.sums_since(peer.evidence_tick, name, is_near)
         return [
             c
             for c in counters
             if c.source == self._evidence.source
-            or (self._carried and not is_near(c.source))
+            or (self._is_relay and not is_near(c.source))
         ]
--- a/gaprock/mesh_halls.py
+++ b/gaprock/mesh_halls.py
@@ -1,8 +1,8 @@
-"""What a gateway knows of other halls: one summary a hall, from that hall's carriers.
+"""Summaries of the other halls, one for each, sent by that hall's relays.
 
-A summary comes from a carrier directly, or is passed on inside the own hall.  It keeps
-its age on the way, a newer one replaces an older one whoever told it, and one that is
-too old is forgotten with all that it told.
+A summary comes from a relay directly, or is forwarded inside the own hall.  It keeps
+its age on the way.  A newer summary replaces an older one, whoever sent it, and one
+that is too old is dropped with everything that it reported.
 """
 
 import collections
@@ -20,20 +20,20 @@
     rollouts,
 )
 
-# A summary counts no more after this time, seconds.
+# Age at which a summary is dropped.
 SUMMARY_TIMEOUT_S: typing.Final = 2.5
-# A summary is passed on inside the own hall this often at most, seconds, by whichever
-# carrier is first; what changed in what everybody must know goes at once.
-PASS_S: typing.Final = 0.8
-# Endpoints of a hall whose loads other halls hear of: those that they had better not
-# send to.  Guards against summaries that grow with the endpoints.
-LOADS_TOLD: typing.Final = 40
+# Minimum interval between two forwardings of a hall's summary inside the own hall, by
+# whichever relay is first.  A change of its urgent part is forwarded at once.
+FORWARD_INTERVAL_S: typing.Final = 0.8
+# Number of endpoints whose loads are reported to other halls: the most loaded ones,
+# which those had better avoid.  Bounds summaries that would grow with the endpoints.
+MAX_REPORTED_LOADS: typing.Final = 40
 
 
-class _Known:
+class _Summary:
     """The newest summary of a hall.
 
-    :param as_of: when it was put together, by our clock.
+    :param as_of: when it was built, by our clock.
     """
 
     __slots__ = ("news", "as_of")
@@ -43,10 +43,10 @@
         self.as_of = as_of
 
 
-class HallBook:
-    """The summaries of the other halls; safe for all threads."""
+class HallSummaries:
+    """The summaries of the other halls; thread-safe."""
 
-    __slots__ = ("_own", "_directory", "_rollouts", "_lock", "_known", "_passed")
+    __slots__ = ("_own", "_directory", "_rollouts", "_lock", "_known", "_forwarded")
 
     def __init__(
         self,
@@ -58,16 +58,16 @@
         self._directory = directory_
         self._rollouts = rollouts_
         self._lock = threading.Lock()
-        self._known: dict[str, _Known] = {}
-        # The newest summary of each hall that went around in the own hall.
-        self._passed: dict[str, _Known] = {}
+        self._known: dict[str, _Summary] = {}
+        # The newest summary of each hall that was forwarded inside the own hall.
+        self._forwarded: dict[str, _Summary] = {}
 
     def take(
-        self, news: mesh_messages.HallNews, now: float, is_passed_on: bool
+        self, news: mesh_messages.HallNews, now: float, is_forwarded: bool
     ) -> None:
-        """Take a summary.
+        """Record a summary, and apply what it reports.
 
-        :param is_passed_on: whether it came by a gateway of the own hall.
+        :param is_forwarded: whether a gateway of the own hall forwarded it.
         """
         if news.hall == self._own:
             return
@@ -76,9 +76,9 @@
             known = self._known.get(news.hall)
             if as_of < now - SUMMARY_TIMEOUT_S or (known and known.as_of >= as_of):
                 return
-            self._known[news.hall] = _Known(news, as_of)
-            if is_passed_on:
-                self._passed[news.hall] = self._known[news.hall]
+            self._known[news.hall] = _Summary(news, as_of)
+            if is_forwarded:
+                self._forwarded[news.hall] = self._known[news.hall]
         if known is None:
             eventlog.info("hall-heard", hall=news.hall, age_s=news.age_s)
         name = source_name(news.hall)
@@ -87,11 +87,11 @@
         pacer = self._directory.pacer
         pacer.record_news(name, news.members, news.limits, news.age_s)
         self._directory.apply_peer_departures(name, news.departing, news.age_s)
-        for told in news.rollouts:
-            self._rollouts.merge_reported(told, now, name)
+        for reported in news.rollouts:
+            self._rollouts.merge_reported(reported, now, name)
 
     def forget_silent(self, now: float) -> None:
-        """Drop what is too old."""
+        """Drop the summaries that are too old."""
         with self._lock:
             old = [k for k in self._known.values() if k.as_of < now - SUMMARY_TIMEOUT_S]
             for known in old:
@@ -104,59 +104,59 @@
             self._directory.pacer.record_news(source_name(hall), 0, [])
 
     def summaries_to_forward(self, now: float) -> list[mesh_messages.HallNews]:
-        """Give the summaries that the own hall has not heard lately, with their age."""
+        """Return the summaries not lately forwarded in the own hall, with their age."""
         with self._lock:
             due = [k for k in self._known.values() if self._is_due(k)]
             for known in due:
-                self._passed[known.news.hall] = known
-        return [known.news.aged(now - known.as_of) for known in due]
+                self._forwarded[known.news.hall] = known
+        return [known.news.with_age(now - known.as_of) for known in due]
 
-    def _is_due(self, known: _Known) -> bool:
-        before = self._passed.get(known.news.hall)
-        if before is None or known.as_of >= before.as_of + PASS_S:
+    def _is_due(self, known: _Summary) -> bool:
+        before = self._forwarded.get(known.news.hall)
+        if before is None or known.as_of >= before.as_of + FORWARD_INTERVAL_S:
             return True
         is_newer = known.as_of > before.as_of
         return is_newer and known.news.urgent != before.news.urgent
 
-    # -- What the summaries tell --
+    # -- Contents of the summaries --
 
     def _all(self) -> list[mesh_messages.HallNews]:
         with self._lock:
             return [known.news for known in self._known.values()]
 
     def members(self) -> int:
-        """Give the living gateways of all other halls."""
+        """Return the number of live gateways in all other halls."""
         return sum(news.members for news in self._all())
 
-    def hall_relays(self) -> dict[str, list[mesh_messages.Carrier]]:
-        """Give the carriers of the other halls, by hall."""
+    def hall_relays(self) -> dict[str, list[mesh_messages.HallRelay]]:
+        """Return the relays of the other halls, by hall."""
         return {news.hall: news.hall_relays for news in self._all()}
 
     def on_old(self, service: str) -> int:
-        """Give the other halls' requests on the old version of a service."""
-        told = [roll for news in self._all() for roll in news.rollouts]
-        return sum(roll.on_old for roll in told if roll.service == service)
+        """Return the number of other halls' requests on a service's old version."""
+        reported = [roll for news in self._all() for roll in news.rollouts]
+        return sum(roll.on_old for roll in reported if roll.service == service)
 
     def has_store(self) -> bool:
-        """Whether the store answers somebody in another hall."""
+        """Whether the store answers any gateway of another hall."""
         return any(news.has_store for news in self._all())
 
     def has_reader_before(self) -> bool:
-        """Whether a hall before ours by name has the store's answers."""
+        """Whether the store answers in a hall that comes before ours by name."""
         return any(news.has_store and news.hall < self._own for news in self._all())
 
 
 def source_name(hall: str) -> str:
-    """Give the name under which a whole hall's loads and dark endpoints are kept."""
+    """Return the name of a whole hall as the source of loads and other reports."""
     return f"hall {hall}"
 
 
 def sum_loads(
-    told: typing.Iterable[dict[str, endpoint_state.Load]],
+    reported: typing.Iterable[dict[str, endpoint_state.Load]],
 ) -> dict[str, endpoint_state.Load]:
-    """Add up what several gateways have at each endpoint."""
+    """Sum the loads of several gateways at each endpoint."""
     total: dict[str, endpoint_state.Load] = {}
-    for loads in told:
+    for loads in reported:
         for name, load in loads.items():
             running, reading = total.get(name, endpoint_state.Load(0, 0))
             total[name] = endpoint_state.Load(
@@ -165,23 +165,23 @@
     return total
 
 
-def heaviest(
+def most_loaded(
     loads: dict[str, endpoint_state.Load],
 ) -> dict[str, endpoint_state.Load]:
-    """Give the endpoints with the most load, as many as are told."""
-    if len(loads) <= LOADS_TOLD:
+    """Return the loads of the most loaded endpoints, as many as are reported."""
+    if len(loads) <= MAX_REPORTED_LOADS:
         return loads
     names = sorted(loads, key=lambda name: loads[name], reverse=True)
-    return {name: loads[name] for name in names[:LOADS_TOLD]}
+    return {name: loads[name] for name in names[:MAX_REPORTED_LOADS]}
 
 
 def sum_wanted_rates(
     own: list[rate_limits.LimitNews],
-    told: typing.Iterable[list[rate_limits.LimitNews]],
+    reported: typing.Iterable[list[rate_limits.LimitNews]],
 ) -> list[rate_limits.LimitNews]:
-    """Give the limits that the carrier knows, with what its whole hall wants."""
+    """Return the limits that a relay knows, with the rates its whole hall wants."""
     wanted: dict[str, float] = collections.defaultdict(float)
-    for news in [own, *told]:
+    for news in [own, *reported]:
         for one in news:
             wanted[one.endpoint] += one.wanted_per_s
     return [
@@ -190,14 +190,14 @@
 
 
 def sum_rollouts(
-    told: typing.Iterable[list[mesh_messages.RolloutNews]],
+    reported: typing.Iterable[list[mesh_messages.RolloutNews]],
 ) -> list[mesh_messages.RolloutNews]:
-    """Give each rollout once: the newest order, halted if anybody halted it.
+    """Merge reports on rollouts: the newest order of each, halted if any report is.
 
-    A session is kept that one of them keeps.
+    Sessions that any of the reports keeps on the old version are kept.
     """
     total: dict[str, mesh_messages.RolloutNews] = {}
-    for news in told:
+    for news in reported:
         for roll in news:
             old = total.get(roll.service)
             if old is None or roll.point > old.point:
--- a/gaprock/mesh_messages.py
+++ b/gaprock/mesh_messages.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other, as MessagePack."""
+"""Messages between gateways, encoded as MessagePack."""
 
 import typing
 
@@ -13,7 +13,7 @@
     rate_limits,
 )
 
-# Row tables that a beat gives versions of, in this order.
+# The tables whose state a heartbeat carries, in this order.
 TABLES: typing.Final = ("orders", "endpoints", "outcomes")
 ORDERS: typing.Final = 0
 
@@ -23,9 +23,9 @@
 
     :param age_s: seconds since the order, by the sender's clock.
     :param on_old: the sender's requests that run on the old version.
-    :param kept: marks of the sessions that the sender saw on the old version and that
-        go on (``rollout_sessions``).
-    :param epoch: the store's epoch in which the revision holds.
+    :param kept: hashes of the sessions that the sender saw on the old version and that
+        continue there (``rollout_sessions``).
+    :param epoch: the store's epoch to which the revision belongs.
     """
 
     service: str
@@ -46,11 +46,11 @@
     """What the sender knows of a table.
 
     :param changed: the version of the newest change.
-    :param digest: of all rows; a table that was read whole shows nothing of a row that
-        was removed before, so the newest change alone does not tell two tables apart.
-    :param verified_store_time: the store's time at which it had just these
-        rows; 0 for never.
-    :param epoch: the store's epoch, in which the version holds.
+    :param digest: a hash of all rows.  A table that was read whole has no trace of a
+        row removed before that, so the newest change alone does not distinguish tables.
+    :param verified_store_time: the store's time at which it was last verified to have
+        exactly these rows; 0 for never.
+    :param epoch: the store's epoch to which the version belongs.
     """
 
     changed: int
@@ -64,28 +64,29 @@
         return self.epoch, self.changed
 
 
-class Carrier(msgspec.Struct, array_like=True, frozen=True):
-    """A gateway that speaks for its hall, and where it takes messages."""
+class HallRelay(msgspec.Struct, array_like=True, frozen=True):
+    """A relay of a hall, and the address at which it receives messages."""
 
     name: str
     address: str
 
 
 class HallNews(msgspec.Struct, array_like=True, frozen=True):
-    """A hall as one of its carriers sees it.
+    """The summary of a hall, as one of its relays sees it.
 
-    :param age_s: seconds since it was put together.
-    :param members: living gateways.
+    :param age_s: seconds since it was built.
+    :param members: the number of live gateways.
     :param has_store: whether the store answers one of them.
-    :param loads: what all of them have at each endpoint, together.
-    :param unreachable_endpoints: endpoints that take no connection from one of them.
-    :param limits: rate limits that endpoints name, and what all of them want to send.
-    :param departing: endpoints that say that they leave.
+    :param loads: the sum of their loads at each endpoint.
+    :param unreachable_endpoints: endpoints that accept no connection from one of them.
+    :param limits: rate limits that endpoints announced, and the rates that the
+        gateways together want to send.
+    :param departing: endpoints that announced that they leave.
     """
 
     hall: str
     age_s: float
-    hall_relays: list[Carrier]
+    hall_relays: list[HallRelay]
     members: int
     has_store: bool
     loads: dict[str, endpoint_state.Load]
@@ -96,44 +97,47 @@
 
     @property
     def urgent(self) -> object:
-        """What everybody must know at once."""
+        """The part that every gateway must learn at once."""
         limits = sorted(one.urgent for one in self.limits)
         leaving = sorted(one.urgent for one in self.departing)
         return (
             self.hall_relays,
             self.unreachable_endpoints,
-            halts(self.rollouts),
+            halt_states(self.rollouts),
             limits,
             leaving,
         )
 
-    def aged(self, age_s: float) -> "HallNews":
-        """Give it with its age now."""
+    def with_age(self, age_s: float) -> "HallNews":
+        """Return the summary with its present age."""
         return msgspec.structs.replace(self, age_s=age_s)
 
 
 class Beat(msgspec.Struct, tag="b", array_like=True, frozen=True):
-    """Sent every beat to the peers of the own hall and to other halls' carriers.
-
-    To another hall it tells no loads, dark endpoints and rollouts of the sender alone,
-    but those of its hall, in ``halls``.
-
-    :param hall: where the sender stands.
-    :param address: where the sender takes messages.
-    :param tables: what it knows of its tables, in the order of ``TABLES``.
-    :param has_store: whether the store answers it, so that it can read for others.
-    :param loads: what it has at each endpoint.
-    :param prompts: what endpoints read for it since the last beat to this peer, as
-        (endpoint, hashes).
-    :param unreachable_endpoints: endpoints that take no connection from it.
-    :param evidence: counters that changed since the last beat to this peer.
-    :param halls: summaries: the sender's hall's to another one, others' in its own.
-    :param suspects: requests that something speaks against, or no more.
-    :param fleet: the most gateways that the sender counted lately; 0 for none.
-    :param limits: rate limits that endpoints name, and what the sender wants to send.
-    :param departing: endpoints that say that they leave.
-    :param epoch_age_s: whole seconds since the sender heard of the store's epoch.
-    :param config: the number of the configuration in force there.
+    """The heartbeat, sent to the peers of the own hall and to other halls' relays.
+
+    To another hall it carries no loads, unreachable endpoints and rollouts of the
+    sender alone, but those of the sender's whole hall, in ``halls``.
+
+    :param hall: the sender's hall.
+    :param address: where the sender receives messages.
+    :param tables: the state of the sender's tables, in the order of ``TABLES``.
+    :param has_store: whether the store answers the sender, so that it can read for
+        others.
+    :param loads: the sender's load at each endpoint.
+    :param prompts: what endpoints prefilled for the sender since the last heartbeat to
+        this peer, as (endpoint, hashes).
+    :param unreachable_endpoints: endpoints that accept no connection from the sender.
+    :param evidence: counters that changed since the last heartbeat to this peer.
+    :param halls: summaries: to another hall that of the sender's hall, to the own hall
+        those of the other halls.
+    :param suspects: requests that are suspected or in quarantine, or were cleared.
+    :param fleet: the recent peak of gateways that the sender counted; 0 for none.
+    :param limits: rate limits that endpoints announced, and the rates that the sender
+        wants to send.
+    :param departing: endpoints that announced that they leave.
+    :param epoch_age_s: whole seconds since the sender learned of the store's epoch.
+    :param config: the number of the configuration in force at the sender.
     """
 
     sender: str
@@ -157,16 +161,16 @@
     config: int = 0
 
 
-def halts(news: list[RolloutNews]) -> list[tuple[str, int, bool]]:
-    """Give which rollouts are halted."""
+def halt_states(news: list[RolloutNews]) -> list[tuple[str, int, bool]]:
+    """Return for each rollout whether it is halted."""
     return [(roll.service, roll.revision, roll.halted) for roll in news]
 
 
 class RowsWanted(msgspec.Struct, tag="w", array_like=True, frozen=True):
-    """Asks for a table, because the store does not answer or others read it for us.
+    """Requests a table, because the store does not answer or others read it for us.
 
     :param since: the version after which changes are wanted; -1 for the whole table.
-    :param epoch: of that version.
+    :param epoch: the epoch of that version.
     """
 
     address: str
@@ -176,7 +180,7 @@
 
 
 class RowCopy(msgspec.Struct, array_like=True, frozen=True):
-    """A row as the store gave it; ``value`` is ``None`` for one that was removed."""
+    """A row as read from the store; ``value`` is ``None`` for a removed row."""
 
     key: str
     value: bytes | None
@@ -187,7 +191,7 @@
     """A table as of a version of the store.
 
     :param since: the version after which these rows changed; -1 for the whole table.
-    :param epoch: of all versions here.
+    :param epoch: the epoch of all versions here.
     """
 
     table: int
@@ -198,7 +202,7 @@
 
 
 class ConfigWanted(msgspec.Struct, tag="cw", array_like=True, frozen=True):
-    """Asks for the configuration in force, because the store's is an older one."""
+    """Requests the configuration in force, because the store has an older one."""
 
     address: str
 
@@ -221,7 +225,7 @@
 def decode(data: bytes) -> Message:
     """Decode a message.
 
-    :raises msgspec.DecodeError: when it is none.
+    :raises msgspec.DecodeError: for data that is no valid message.
     """
     message: Message = _decoder.decode(data)
     return message
--- a/gaprock/mesh_peers.py
+++ b/gaprock/mesh_peers.py
@@ -1,39 +1,40 @@
-"""The other gateways as the mesh knows them, and when each is due a beat."""
+"""What the mesh keeps of each peer, and when a peer is due a heartbeat."""
 
 import typing
 
 from gaprock import clock, mesh_messages
 
-# Pause between beats while something changes, and otherwise, seconds.
+# Intervals between heartbeats: while something changes, and otherwise.
 BUSY_BEAT_S: typing.Final = 0.2
 IDLE_BEAT_S: typing.Final = 1.0
-# Pause between beats in the own hall while nothing changes, seconds; who speaks for the
-# hall follows from who is heard there, so a silent gateway has to show soon.
+# Interval between heartbeats in the own hall while nothing changes.  Which gateways are
+# the hall's relays depends on which are heard, so a silent one has to be noticed soon.
 NEAR_IDLE_S: typing.Final = 0.4
-# What each peer in another hall adds to the pause between beats to such peers, seconds:
-# about 3 KB a second of beats, whatever their number, up to the idle pause.
+# Added to the interval between heartbeats to other halls for each peer there:
+# heartbeats take about 3 KB a second, whatever the number of peers, up to the idle
+# interval.
 FAR_PEER_S: typing.Final = 0.07
-# What each peer of the own hall adds to the pause between beats there, seconds: 16 have
-# the pause of few, and from 80 on a beat goes to each of them a second.
+# Added to the interval between heartbeats in the own hall for each peer there: up to 16
+# peers have the minimum interval, and from 80 on each peer gets a heartbeat a second.
 NEAR_PEER_S: typing.Final = 0.0125
-# In a hall with more peers than this, loads and prompts are not told: a beat to all of
-# them a second tells of requests that are over by then, and each gateway has so few
-# that what it tells is little of what an endpoint has.
-CROWD: typing.Final = 40
-# The first gateways of a hall by name, who may speak or read for it, are heard as often
-# in a large hall as in a small one.
-FIRST_FEW: typing.Final = 4
+# In a hall with more peers than this, loads and prompts are not sent: with one
+# heartbeat a second they report requests that are over by then, and each gateway has so
+# few requests that its report is a small part of an endpoint's load.
+LARGE_HALL_PEERS: typing.Final = 40
+# The first gateways of a hall by name, which may be its relays or readers, send
+# heartbeats as often in a large hall as in a small one.
+FREQUENT_SENDERS: typing.Final = 4
 
 
-class News(typing.NamedTuple):
-    """What a beat would tell, to see whether it is worth sending.
+class BeatContent(typing.NamedTuple):
+    """What a heartbeat would carry, to decide whether it is worth sending.
 
-    :param urgent: what every peer must know at once.
-    :param usual: loads and evidence.
+    :param urgent: what every peer must learn at once.
+    :param routine: what can wait for the interval, such as loads and evidence.
     """
 
     urgent: object
-    usual: object
+    routine: object
 
 
 class Peer:
@@ -44,60 +45,60 @@
         "hall",
         "address",
         "sock",
-        "heard_at",
-        "tick",
-        "prompts",
+        "last_seen_at",
+        "evidence_tick",
+        "prompts_sent",
         "beat",
         "asked_at",
-        "beat_at",
-        "told",
+        "last_sent_at",
+        "last_sent",
         "probed_at",
-        "used_at",
-        "spoke_at",
-        "held_told_at",
+        "last_selected_at",
+        "last_heartbeat_at",
+        "held_sent_at",
     )
 
     def __init__(
         self, name: str, address: str, sock: typing.Any, now: float, hall: str = ""
     ) -> None:
         self.name = name
-        # Unknown until its first beat, or from its row.
+        # Known from its row, or else from its first heartbeat.
         self.hall = hall
         self.address = address
-        # ``None`` while it is not spoken to.
+        # ``None`` while nothing is sent to it.
         self.sock = sock
-        self.heard_at = now
-        # When it was last sent a beat, and what that told.
-        self.beat_at = -IDLE_BEAT_S
-        self.told = News((), ())
-        # The evidence that it has been sent.
-        self.tick = 0
-        # How many of our prompts it was told.
-        self.prompts = 0
+        self.last_seen_at = now
+        # When it was last sent a heartbeat, and what that carried.
+        self.last_sent_at = -IDLE_BEAT_S
+        self.last_sent = BeatContent((), ())
+        # The tick of the evidence that it has been sent.
+        self.evidence_tick = 0
+        # How many of our prompts it has been sent.
+        self.prompts_sent = 0
         self.beat: mesh_messages.Beat | None = None
         self.asked_at = 0.0
-        # When it was last tried because nobody of its hall was heard.
+        # When it was last probed because nothing was heard from its hall.
         self.probed_at = -clock.NEVER
-        # When it was last chosen to be spoken to, in another hall.
-        self.used_at = -clock.NEVER
-        # When its last beat came here; others may have told of it later.
-        self.spoke_at = -clock.NEVER
-        # When it was last told all requests that are held.
-        self.held_told_at = -clock.NEVER
+        # When it was last selected to be sent to, if it is in another hall.
+        self.last_selected_at = -clock.NEVER
+        # When its own last heartbeat arrived; a summary may have named it later.
+        self.last_heartbeat_at = -clock.NEVER
+        # When it was last sent all requests in quarantine.
+        self.held_sent_at = -clock.NEVER
 
 
 def near_pause(peers: int) -> float:
-    """Give the seconds between two beats in a hall while something changes.
+    """Return the seconds between two heartbeats in a hall while something changes.
 
-    :param peers: how many peers it has.
+    :param peers: the number of peers in the hall.
     """
     return min(IDLE_BEAT_S, max(BUSY_BEAT_S, NEAR_PEER_S * peers))
 
 
 def far_pause(peers: int) -> float:
-    """Give the seconds between two beats to other halls while something changes.
+    """Return the seconds between two heartbeats to other halls while something changes.
 
-    :param peers: how many peers are spoken to there.
+    :param peers: the number of peers that are sent to there.
     """
     return min(IDLE_BEAT_S, max(BUSY_BEAT_S, FAR_PEER_S * peers))
 
@@ -105,14 +106,14 @@
 def is_due(
     peer: Peer,
     now: float,
-    news: News,
+    news: BeatContent,
     pause_s: float,
     idle_s: float = IDLE_BEAT_S,
 ) -> bool:
-    """Whether a peer is to be sent a beat now."""
-    if news.urgent != peer.told.urgent:
+    """Whether a peer is due a heartbeat now."""
+    if news.urgent != peer.last_sent.urgent:
         return True
-    rested_s = now - peer.beat_at
-    if news.usual != peer.told.usual:
+    rested_s = now - peer.last_sent_at
+    if news.routine != peer.last_sent.routine:
         return rested_s >= pause_s
     return rested_s >= idle_s
--- a/gaprock/mesh_plan.py
+++ b/gaprock/mesh_plan.py
@@ -1,11 +1,13 @@
-"""Who speaks for a hall, and to whom: decided from who was heard, without a network.
-
-Bytes between halls are priced, and a beat from every gateway to every other one grows
-with the square of their number.  So gateways speak to their own hall only, and the
-first living ones of a hall by name, its *carriers*, also speak to the carriers of the
-other halls.  Nobody is elected and nothing is stored: each gateway sees by itself
-whether it is among the first that it hears.  Two that disagree for a moment both carry,
-which costs some beats and harms nothing.
+"""Selection of a hall's relays, and of the peers that they send to.
+
+Everything is decided from which peers were heard; no network is used here.
+
+Bytes between halls cost money, and heartbeats from every gateway to every other one
+grow with the square of their number.  So gateways send to their own hall only, and the
+first live ones of a hall by name, its *relays*, also send to the relays of the other
+halls.  There is no election and nothing is stored: each gateway decides by itself
+whether it is among the first that it hears.  If two disagree for a moment, both act as
+relays, which costs some heartbeats and does no harm.
 """
 
 import typing
@@ -13,80 +15,84 @@
 
 from gaprock import mesh_peers
 
-# Carriers of a hall.  With two, a halt passes while one of them is frozen or cut off
-# and not yet noticed.
-CARRIERS: typing.Final = 2
-# A gateway of the own hall that was not heard for this long is passed by, seconds: two
-# idle beats, so that a hall has a new carrier within a second of losing one.
-HEARD_S: typing.Final = 0.8
-# Addresses in a hall of which nothing is heard that are tried at a time, and the pause
-# until the next ones are, seconds.
+# Relays of a hall.  With two, a halt still gets through while one of them is frozen or
+# cut off and that is not noticed yet.
+RELAYS_PER_HALL: typing.Final = 2
+# A gateway of the own hall that was not heard for this long is no relay: two idle
+# intervals, so that a hall has a new relay within a second of losing one.
+RELAY_TIMEOUT_S: typing.Final = 0.8
+# Number of addresses that are probed at a time in a hall from which nothing is heard,
+# and the time until the next ones are.
 PROBES: typing.Final = 2
 PROBE_S: typing.Final = 1.0
-# Gateways that share a reader of the store: a reader hands each change to all of them,
-# which is more than a small machine's link bears for a hall of a hundred.
+# Gateways that share a reader of the store.  A reader sends each change to all of them;
+# for a hall of a hundred that is more than the network link of a small vm can carry.
 READER_GROUP: typing.Final = 12
 
 
 def living(near: typing.Iterable[mesh_peers.Peer], now: float) -> list[mesh_peers.Peer]:
-    """Give the gateways of the own hall that were heard lately and stay."""
+    """Return the gateways of the own hall that were heard recently and do not leave."""
     return [
         peer
         for peer in near
-        if peer.heard_at >= now - HEARD_S and peer.beat and not peer.beat.leaving
+        if peer.last_seen_at >= now - RELAY_TIMEOUT_S
+        and peer.beat
+        and not peer.beat.leaving
     ]
 
 
 def hall_relays(
     name: str, near: typing.Iterable[mesh_peers.Peer], now: float
 ) -> set[str]:
-    """Give the names of the own hall's carriers, as the gateway ``name`` sees them."""
+    """Return the names of the own hall's relays, as the gateway ``name`` sees them."""
     names = sorted({name, *(peer.name for peer in living(near, now))})
-    return set(names[:CARRIERS])
+    return set(names[:RELAYS_PER_HALL])
 
 
 def reader_group(name: str, gateways: int) -> int:
-    """Give the group of a hall's gateways in which one reads the store for the others.
+    """Return the group of a hall's gateways that share one reader of the store.
 
-    Gateways that count the hall differently for a moment read once more, or ask one
-    of another group.
+    If gateways count the hall differently for a moment, the store is read once more, or
+    a gateway of another group is asked.
 
-    :param gateways: that the hall has; a smaller one than two groups has but one.
+    :param gateways: the number in the hall; too few for two groups form a single one.
     """
     groups = max(1, gateways // READER_GROUP)
     return zlib.crc32(name.encode()) % (1 << (groups.bit_length() - 1))
 
 
 def targets(
-    far: typing.Iterable[mesh_peers.Peer], carrying: set[str], now: float
+    far: typing.Iterable[mesh_peers.Peer], relay_addresses: set[str], now: float
 ) -> list[mesh_peers.Peer]:
-    """Give the gateways of other halls that a carrier speaks to.
+    """Return the gateways of other halls that a relay sends to.
 
-    :param far: all that are known there.
-    :param carrying: addresses of those that are known to carry.
+    :param far: all known gateways of other halls.
+    :param relay_addresses: the addresses of the known relays among them.
     """
     halls: dict[str, list[mesh_peers.Peer]] = {}
     for peer in far:
         halls.setdefault(peer.hall, []).append(peer)
     found = []
     for peers in halls.values():
-        known = [peer for peer in peers if peer.address in carrying]
+        known = [peer for peer in peers if peer.address in relay_addresses]
         found += known or _probed(peers, now)
     return found
 
 
-def to_correct(
+def misdirected_senders(
     far: typing.Iterable[mesh_peers.Peer], now: float
 ) -> list[mesh_peers.Peer]:
-    """Give the gateways of other halls that speak to us though we do not carry.
+    """Return the gateways of other halls that send to us though we are no relay.
 
-    They get beats that name our carriers until they speak to those.
+    They get heartbeats that name our relays, until they send to those.
     """
-    return [peer for peer in far if peer.beat and peer.spoke_at >= now - PROBE_S]
+    return [
+        peer for peer in far if peer.beat and peer.last_heartbeat_at >= now - PROBE_S
+    ]
 
 
 def _probed(peers: list[mesh_peers.Peer], now: float) -> list[mesh_peers.Peer]:
-    """Give the gateways of a silent hall that are tried now, each for a moment."""
+    """Return the gateways of a silent hall that are probed now, each for a while."""
     trying = [peer for peer in peers if now < peer.probed_at + PROBE_S]
     waiting = [peer for peer in peers if peer not in trying]
     waiting.sort(key=lambda peer: (peer.probed_at, peer.name, peer.address))
--- a/gaprock/test/fleetcase.py
+++ b/gaprock/test/fleetcase.py
@@ -1,7 +1,8 @@
-"""The talk of many gateways in one thread, on a clock that is moved by hand.
+"""Simulation of the gossip of many gateways, in one thread and on a manual clock.
 
-Each has the real mesh, directory, rollouts and evidence; the sockets hand messages to a
-queue, which may lose or keep them, and count what goes between halls.
+Each gateway has the real mesh, directory, rollouts and evidence.  The sockets put their
+messages into a queue, which may drop or hold them, and the traffic in halls and between
+them is counted.
 """
 
 import typing
@@ -19,13 +20,13 @@
 from gaprock.test import rolloutcase
 
 STEP_S: typing.Final = 0.02
-# One way between two gateways, seconds; rounded up to a step.
+# Delay of a message between two gateways; rounded up to a step.
 DELAY_S: typing.Final = 0.01
 SERVICE: typing.Final = "llm"
 
 
-class Sock:
-    """Where one gateway sends messages for another."""
+class FakeSocket:
+    """The sending side of a connection from one gateway to another."""
 
     def __init__(self, fleet: "Fleet", sender: "Member", address: str) -> None:
         self._fleet = fleet
@@ -39,8 +40,8 @@
         pass
 
 
-class Table:
-    """The store as a gateway sees it: it answers, or it does not."""
+class FakeRowSource:
+    """A source of rows that has none; its store answers or does not."""
 
     def __init__(self) -> None:
         self.answers = True
@@ -77,7 +78,7 @@
 
 
 class Member:
-    """One gateway."""
+    """A simulated gateway."""
 
     def __init__(self, fleet: "Fleet", hall: str, number: int) -> None:
         self.name = f"gw-{hall}-{number:03}"
@@ -98,13 +99,13 @@
             self.evidence,
             self.quarantine,
         )
-        self.table = Table()
+        self.table = FakeRowSource()
         self.mesh.source = self.table  # type: ignore[assignment]
         self.mesh._connect = (  # type: ignore[method-assign]
-            lambda context, address: Sock(fleet, self, address)
+            lambda context, address: FakeSocket(fleet, self, address)
         )
         self.look_at = 0.0
-        # A process that is gone, or stands still and keeps what comes.
+        # A dead process drops what it receives; a frozen one keeps it until it runs on.
         self.is_dead = False
         self.is_frozen = False
         self.kept: list[bytes] = []
@@ -115,21 +116,21 @@
         return self.book.all()[0]
 
     def step(self, now: float) -> None:
-        """Do what the mesh's thread would do now."""
-        self.mesh._connect_found(None)
+        """Run what the mesh's thread would run now."""
+        self.mesh._connect_new(None)
         if now >= self.look_at or self.mesh._urgent_news() != self.mesh._urgent:
             self.look_at = now + 0.2
-            self.mesh._look(None, now)
+            self.mesh._run_due_tasks(None, now)
 
     def take(self, data: bytes) -> None:
         if self.is_frozen:
             self.kept.append(data)
         elif not self.is_dead:
-            self.mesh._take(data)
+            self.mesh._handle(data)
 
 
 class Fleet:
-    """The gateways and the way between them."""
+    """The gateways and the network between them."""
 
     def __init__(self, halls: int, each: int) -> None:
         self.time = clock.ManualClock(100.0)
@@ -139,9 +140,9 @@
             for number in range(each)
         ]
         self._by_address = {m.address: m for m in self.members}
-        # Messages under way: when they come, for whom.
-        self._under_way: list[tuple[float, Member, bytes]] = []
-        # Gateways from which nothing comes, though they hear all.
+        # Messages in transit: the time of arrival, the receiver and the bytes.
+        self._in_transit: list[tuple[float, Member, bytes]] = []
+        # Names of gateways whose messages are lost, though they receive all others'.
         self.mute: set[str] = set()
         self.far_messages = self.far_bytes = self.near_bytes = 0
         found = [
@@ -150,29 +151,29 @@
         order = gateway_api.RolloutOrder(SERVICE, "v2", 60.0)
         for number, member in enumerate(self.members):
             member.mesh.found(found)
-            # They begin at unlike moments.
+            # Their heartbeats start at different times.
             member.look_at = self.time.now() + 0.2 * number / len(self.members)
             member.book.add_order(order, 1, self.time.now())
 
     def join(self, member: Member) -> None:
-        """Take a gateway in that starts late."""
+        """Add a gateway that starts late."""
         self.members.append(member)
         self._by_address[member.address] = member
 
     def hall(self, hall: str) -> list[Member]:
-        """Give a hall's gateways."""
+        """Return a hall's gateways."""
         return [m for m in self.members if m.hall == hall]
 
     def living(self) -> list[Member]:
-        """Give the gateways that run."""
+        """Return the gateways that run."""
         return [m for m in self.members if not m.is_dead and not m.is_frozen]
 
     def hall_relays(self) -> list[Member]:
-        """Give those that hold themselves for carriers."""
-        return [m for m in self.living() if m.mesh._carried]
+        """Return the running gateways that act as relays."""
+        return [m for m in self.living() if m.mesh._is_relay]
 
     def send(self, sender: Member, address: str, data: bytes) -> None:
-        """Take a message on its way."""
+        """Count a message, and put it in transit."""
         if sender.name in self.mute:
             return
         receiver = self._by_address[address]
@@ -181,12 +182,12 @@
         else:
             self.far_messages += 1
             self.far_bytes += len(data)
-        self._under_way.append((self.time.now() + DELAY_S, receiver, data))
+        self._in_transit.append((self.time.now() + DELAY_S, receiver, data))
 
     def run(
         self, seconds: float, until: typing.Callable[[], bool] = lambda: False
     ) -> float:
-        """Let time pass.
+        """Advance the time, until a condition holds if there is one.
 
         :returns: the seconds that passed before ``until`` held, or all of them.
         """
@@ -194,8 +195,8 @@
         while self.time.now() < began + seconds and not until():
             self.time.advance(STEP_S)
             now = self.time.now()
-            due = [one for one in self._under_way if one[0] <= now]
-            self._under_way = [one for one in self._under_way if one[0] > now]
+            due = [one for one in self._in_transit if one[0] <= now]
+            self._in_transit = [one for one in self._in_transit if one[0] > now]
             for _, receiver, data in due:
                 receiver.take(data)
             for member in self.living():
@@ -203,7 +204,7 @@
         return self.time.now() - began
 
     def wake(self, member: Member) -> None:
-        """Have a frozen gateway go on; what came meanwhile it reads at once."""
+        """Let a frozen gateway run on; it reads all that it received meanwhile."""
         member.is_frozen = False
         kept, member.kept = member.kept, []
         for data in kept:
--- a/gaprock/test/gatewayfleet.py
+++ b/gaprock/test/gatewayfleet.py
@@ -1,4 +1,4 @@
-"""Several gateways in the test's process that tell each other, one in each hall."""
+"""Several gateways that gossip in the test's process, one in each hall."""
 
 import contextlib
 import socket
@@ -8,14 +8,15 @@
 from gaprock import gateway_node, options
 from gaprock.test import gatewaysite, ports
 
-# Beats of every other gateway after which one has what they knew before.
-TELLING_BEATS: typing.Final = 3
+# Heartbeats from every other gateway after which a gateway has all that they had
+# before.
+GOSSIP_ROUNDS: typing.Final = 3
 
 
 class Fleet:
-    """Gateways in halls of their own; use it as a context.
+    """Gateways, each in a hall of its own; a context manager.
 
-    :param kind: of the requests that callers make, as the routes' paths begin.
+    :param kind: the kind of the clients' requests, as the first part of their paths.
     """
 
     def __init__(self, count: int, kind: str) -> None:
@@ -61,7 +62,7 @@
             )
 
     def start_endpoints(self, stack: contextlib.ExitStack) -> int:
-        """Start the service's endpoints; give how many there are."""
+        """Start the service's endpoints; return how many there are."""
         raise NotImplementedError
 
     def __exit__(
@@ -76,7 +77,7 @@
         return gateway.directory.usable(self.service_name, set())
 
     def call(self, number: int, body: bytes, **more: str) -> gatewaysite.Answer:
-        """Make a request at a gateway."""
+        """Send a request to a gateway, and return its answer."""
         headers = dict(more)
         if self.kind == "gen":
             headers.setdefault("X_Model", "*")
@@ -89,22 +90,22 @@
             return gatewaysite.Answer(gatewaysite.read_all(sock))
 
     def wait_for_gossip(self) -> None:
-        """Wait until each gateway has told the others what it knows now."""
-        for _ in range(TELLING_BEATS):
+        """Wait until each gateway has sent the others all that it has now."""
+        for _ in range(GOSSIP_ROUNDS):
             before = [self._heard(gateway) for gateway in self.gateways]
             for gateway, heard in zip(self.gateways, before, strict=True):
                 gatewaysite.wait_until(
                     lambda: all(
                         at > heard[name] for name, at in self._heard(gateway).items()
                     ),
-                    "a beat of each other gateway",
+                    "a heartbeat of each other gateway",
                 )
 
     def _heard(self, gateway: gateway_node.Gateway) -> dict[str, float]:
         peers = list(gateway.mesh._peers.values())
-        return {peer.name: peer.spoke_at for peer in peers}
+        return {peer.name: peer.last_heartbeat_at for peer in peers}
 
 
 def with_mesh(cfg: options.Options) -> None:
-    """Have a gateway talk to others."""
+    """Enable gossip in a gateway's options."""
     cfg.mesh_port = ports.free_port()
--- a/gaprock/test/testfleet.py
+++ b/gaprock/test/testfleet.py
@@ -1,4 +1,4 @@
-"""What gateways keep together: rows, rollouts and their outcome, under faults."""
+"""Followed rows, the mesh's connections and the settings of gateways, under faults."""
 
 import pathlib
 
@@ -59,7 +59,7 @@
     one._read()
     one.apply_copy(page(9, ("a", b"2", 9)))
     assert kept.values == {"a": b"2"}
-    # The poll that was under way tells older changes, one of a row that is gone again.
+    # The poll that was under way returns older changes, and the removal of a row.
     scripted.pages = [page(8, ("a", b"old", 7), ("b", None, 8), ("c", b"1", 8))]
     one._ask(one.version)
     assert kept.values == {"a": b"2"}
@@ -67,7 +67,7 @@
     assert kept.values == {"a": b"2"}
 
 
-def test_rows_of_one_transaction_are_all_taken(time: clock.ManualClock) -> None:
+def test_rows_of_one_transaction_are_all_applied(time: clock.ManualClock) -> None:
     one, scripted, kept = follower(time)
     scripted.pages = [page(5), page(6, ("a", b"1", 6), ("b", b"1", 6))]
     one._read()
@@ -85,7 +85,7 @@
     exchange = row_exchange.RowExchange([one], time)
     assert not exchange.record_news(0, news(6))
     time.advance(followers.BEHIND_S + 0.1)
-    # Another one that is as far behind says nothing against it.
+    # Another peer that is as far behind as we are does not end the wait.
     assert not exchange.record_news(0, news(5))
     assert exchange.record_news(0, news(6))
     assert not exchange.record_news(0, news(5))
@@ -93,7 +93,7 @@
     assert exchange.record_news(0, news(6))
 
 
-def test_a_follower_that_rests_takes_copies_and_polls_again() -> None:
+def test_a_follower_on_standby_applies_copies_and_polls_again_when_needed() -> None:
     fake = metastore.MetaStoreFake()
     fake.start()
     kept, rests = rowcase.RecordingSink(), [True]
@@ -127,24 +127,24 @@
 def test_the_first_of_a_hall_reads_for_the_others(time: clock.ManualClock) -> None:
     case = rolloutcase.WriterCase(time)
 
-    def hear(name: str, hall: str = "h1", has_store: bool = True) -> None:
+    def hear_from(name: str, hall: str = "h1", has_store: bool = True) -> None:
         beat = mesh_messages.Beat(
             name, hall, name, "i", [], has_store, {}, [], [], [], [], False
         )
         case.mesh._peers[name] = mesh_peers.Peer(name, name, None, time.now())
         case.mesh._on_beat(beat)
 
-    hear("b", hall="h2")
-    hear("c", has_store=False)
-    # After us by name: it may count on us, so we may not count on it.
-    hear("z")
+    hear_from("b", hall="h2")
+    hear_from("c", has_store=False)
+    # It comes after us by name: it may rely on us, so we must not rely on it.
+    hear_from("z")
     assert not case.mesh.has_readers()
-    hear("c")
+    hear_from("c")
     assert case.mesh.has_readers()
-    # It loses the store, or falls silent.
-    hear("c", has_store=False)
+    # It loses the store, or goes silent.
+    hear_from("c", has_store=False)
     assert not case.mesh.has_readers()
-    hear("c")
+    hear_from("c")
     time.advance(mesh_members.READER_TIMEOUT_S + 0.1)
     assert not case.mesh.has_readers()
 
@@ -174,7 +174,7 @@
     fake.stop()
 
 
-def test_a_commit_tells_done_refused_and_unknown() -> None:
+def test_a_commit_distinguishes_done_refused_and_unknown() -> None:
     fake = metastore.MetaStoreFake()
     fake.start()
     client = store.PlatformStore(f"127.0.0.1:{fake.port}")
@@ -208,20 +208,20 @@
 # -- Mesh --
 
 
-def test_far_peers_get_fewer_beats_and_halts_at_once() -> None:
+def test_far_peers_get_fewer_heartbeats_but_halts_at_once() -> None:
     peer = mesh_peers.Peer("other", "tcp://x", None, 0.0)
-    peer.beat_at, peer.told = 10.0, mesh_peers.News("a", 1)
+    peer.last_sent_at, peer.last_sent = 10.0, mesh_peers.BeatContent("a", 1)
     near, few, many = (
         mesh_peers.near_pause(13),
         mesh_peers.far_pause(2),
         mesh_peers.far_pause(14),
     )
     assert near == few == mesh_peers.BUSY_BEAT_S < many <= mesh_peers.IDLE_BEAT_S
-    assert mesh_peers.is_due(peer, 10.3, mesh_peers.News("a", 2), near)
-    assert not mesh_peers.is_due(peer, 10.3, mesh_peers.News("a", 2), many)
-    assert mesh_peers.is_due(peer, 10.01, mesh_peers.News("b", 1), many)
-    assert not mesh_peers.is_due(peer, 10.9, mesh_peers.News("a", 1), near)
-    assert mesh_peers.is_due(peer, 11.0, mesh_peers.News("a", 1), near)
+    assert mesh_peers.is_due(peer, 10.3, mesh_peers.BeatContent("a", 2), near)
+    assert not mesh_peers.is_due(peer, 10.3, mesh_peers.BeatContent("a", 2), many)
+    assert mesh_peers.is_due(peer, 10.01, mesh_peers.BeatContent("b", 1), many)
+    assert not mesh_peers.is_due(peer, 10.9, mesh_peers.BeatContent("a", 1), near)
+    assert mesh_peers.is_due(peer, 11.0, mesh_peers.BeatContent("a", 1), near)
 
 
 def test_a_connection_between_gateways_that_went_silent_is_opened_anew() -> None:
@@ -236,16 +236,16 @@
         try:
             sock.send(b"beat", zmq.NOBLOCK)
         except zmq.Again:
-            # Not connected, or too much waits: the next try tells.
+            # Not connected, or the queue is full: wait for the next try.
             return False
         return bool(inbox.poll(20)) and bool(inbox.recv())
 
     try:
-        gatewaysite.wait_until(is_heard, "the first beat")
+        gatewaysite.wait_until(is_heard, "the first heartbeat")
         proxy.mute()
         while inbox.poll(100):
             inbox.recv()
-        gatewaysite.wait_until(is_heard, "a beat on a new connection")
+        gatewaysite.wait_until(is_heard, "a heartbeat on a new connection")
     finally:
         for each in (sock, inbox):
             each.close(linger=0)
@@ -266,7 +266,8 @@
             "peer", "h2", heard, "i", [], True, {}, [], [], [], [], False
         )
         case.mesh._on_beat(beat)
-        # A cut between regions lasts minutes, and nobody reads the peers' rows again.
+        # A partition between regions lasts minutes, and the peers' rows are not read
+        # again.
         time.advance(mesh.FORGET_S + 600.0)
         case.mesh._forget_silent()
         assert list(case.mesh._peers) == [heard]
@@ -283,7 +284,7 @@
 # -- Settings --
 
 
-def test_a_wrong_setting_is_named(tmp_path: pathlib.Path) -> None:
+def test_the_error_for_a_missing_setting_names_it(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text('Node = "n"\nIp = "10.0.0.1"\nZone = "z"\n[Provider]\nAddr = "x"\n')
     with pytest.raises(errors.GaprockError, match="Listen"):
--- a/gaprock/test/testscale.py
+++ b/gaprock/test/testscale.py
@@ -1,4 +1,4 @@
-"""Hundreds of gateways and thousands of endpoints: what each looks at and tells."""
+"""Cost in large fleets: endpoints that a choice considers, and gossip of a gateway."""
 
 import collections
 import random
@@ -49,43 +49,46 @@
     return [endpoint.name for endpoint in found]
 
 
-# -- What a request looks at --
+# -- Endpoints that a request considers --
 
 
-def test_a_request_looks_at_as_many_endpoints_however_many_there_are() -> None:
-    """A choice among 4,000 took 81 ms of processor time, among these 0.2 ms."""
+def test_a_request_considers_a_bounded_number_of_endpoints() -> None:
+    """Guards against a choice whose cost grows with the number of endpoints.
+
+    A choice among all of 4,000 took 81 ms of processor time, among these 0.2 ms.
+    """
     for count in (400, 4000):
         names = usable(make_directory(count), 12345)
         assert len(names) == directory_rows.CANDIDATES_PER_HALL
     assert len(usable(make_directory(60), 12345)) == 60
 
 
-def test_a_choice_asks_nothing_of_endpoints_that_it_does_not_look_at() -> None:
+def test_a_choice_reads_the_backlog_of_considered_endpoints_only() -> None:
     plugin.load_all(plugin.GATEWAY_MODULES)
-    asked: list[str] = []
+    considered: list[str] = []
     steady = clock.ManualClock(100.0)
     gateway = herd.Gateway("gw", steady, 1, "least-filled")
     gateway.chooser._hall = "h0"
     scale.fill(gateway.directory, 4000, HALLS)
     unread_tokens = gateway.directory.unread_tokens
 
-    def note(endpoints: list[endpoint_state.Endpoint]) -> list[float]:
-        asked.extend(endpoint.name for endpoint in endpoints)
+    def record(endpoints: list[endpoint_state.Endpoint]) -> list[float]:
+        considered.extend(endpoint.name for endpoint in endpoints)
         return unread_tokens(endpoints)
 
-    gateway.directory.unread_tokens = note  # type: ignore[method-assign]
+    gateway.directory.unread_tokens = record  # type: ignore[method-assign]
     assert gateway.chooser.endpoint(herd.call(1, 100.0), "") is not None
-    assert len(set(asked)) <= directory_rows.CANDIDATES_PER_HALL
+    assert len(set(considered)) <= directory_rows.CANDIDATES_PER_HALL
 
 
-def test_gateways_look_at_the_same_endpoints_for_the_same_subject() -> None:
+def test_gateways_consider_the_same_endpoints_for_the_same_subject() -> None:
     one, other = make_directory(900), make_directory(900)
     for number in range(20):
         key = zlib.crc32(f"subject {number}".encode())
         assert usable(one, key) == usable(other, key)
 
 
-def test_all_endpoints_are_looked_at_about_as_often() -> None:
+def test_all_endpoints_are_considered_about_equally_often() -> None:
     book = make_directory(600)
     seen: collections.Counter[str] = collections.Counter()
     rng = random.Random(1)
@@ -93,12 +96,12 @@
         seen.update(usable(book, rng.randrange(1 << 32)))
     mean = 3000 * directory_rows.CANDIDATES_PER_HALL / 200
     assert len(seen) == 200
-    # Each is looked at from the 16 stretches before it.
+    # Each is considered from the 16 sections of the ring before it.
     assert max(seen.values()) < 2.5 * mean
     assert min(seen.values()) > mean / 4
 
 
-def test_full_and_unusable_endpoints_open_the_way_to_others() -> None:
+def test_full_or_excluded_endpoints_are_replaced_by_others() -> None:
     book = make_directory(300)
     first = usable(book, 7)
     again = usable(book, 7, first)
@@ -113,7 +116,7 @@
     assert halls == {"h0", "h1", "h2"}
 
 
-def test_endpoints_that_are_set_aside_are_passed_by() -> None:
+def test_ejected_endpoints_are_skipped() -> None:
     book = make_directory(300)
     first = usable(book, 7)
     for name in first:
@@ -121,7 +124,7 @@
     assert not set(first) & set(usable(book, 7))
 
 
-def test_emptied_halls_leave_the_endpoints_of_the_others() -> None:
+def test_endpoints_of_cordoned_halls_are_skipped() -> None:
     book = make_directory(300)
     book.set_cordoned(frozenset({"h0"}))
     found = usable(book, 7)
@@ -135,7 +138,7 @@
         max_size=60,
     )
 )
-def test_the_rings_hold_what_the_rows_say(changes: list[tuple[int, str]]) -> None:
+def test_the_hash_rings_match_the_rows(changes: list[tuple[int, str]]) -> None:
     index = endpoint_index.EndpointIndex()
     held: dict[str, endpoint_state.Endpoint] = {}
     for number, change in changes:
@@ -153,10 +156,10 @@
         assert sorted(names) == sorted(n for n, e in held.items() if e.row.hall == hall)
 
 
-# -- What others tell --
+# -- Loads reported by peers --
 
 
-def test_loads_that_are_told_no_more_are_taken_back() -> None:
+def test_loads_no_longer_reported_are_removed() -> None:
     book = make_directory(90)
     names = list(book._endpoints)
     book.apply_peer_loads("a", {names[0]: endpoint_state.Load(3, 0.0)})
@@ -168,26 +171,26 @@
     assert not any(book._endpoints[n].load for n in names[:2])
 
 
-def test_other_halls_hear_of_the_fullest_endpoints() -> None:
+def test_only_the_most_loaded_endpoints_are_reported_to_other_halls() -> None:
     loads = {f"e{n}": endpoint_state.Load(n, 0.0) for n in range(500)}
-    told = mesh_halls.heaviest(loads)
-    assert len(told) == mesh_halls.LOADS_TOLD
-    assert min(load.running for load in told.values()) == 460
+    reported = mesh_halls.most_loaded(loads)
+    assert len(reported) == mesh_halls.MAX_REPORTED_LOADS
+    assert min(load.running for load in reported.values()) == 460
 
 
-# -- Rows by difference --
+# -- Copies of changed rows --
 
 
 class Pair:
-    """A gateway that reads the store, and one that takes its copies."""
+    """A gateway that reads the store, and one that applies its copies."""
 
     def __init__(self) -> None:
         time = clock.ManualClock(100.0)
         self.scripted = rolloutcase.ScriptedStore()
         self.reader, self.kept = self._follower(time, self.scripted)
-        self.rester, self.copied = self._follower(time, rolloutcase.ScriptedStore())
-        self.tell = row_exchange.RowExchange([self.reader], time)
-        self.hear = row_exchange.RowExchange([self.rester], time)
+        self.standby, self.copied = self._follower(time, rolloutcase.ScriptedStore())
+        self.reader_exchange = row_exchange.RowExchange([self.reader], time)
+        self.standby_exchange = row_exchange.RowExchange([self.standby], time)
 
     def _follower(
         self, time: clock.ManualClock, store: gateway_api.SharedStore
@@ -203,26 +206,26 @@
         else:
             self.reader._ask(self.reader.version)
 
-    def hand_on(self) -> mesh_messages.Rows:
-        """Have the one who rests ask for what it lacks; give what it got."""
-        epoch, since = self.hear.delta_base(0)
-        rows = self.tell.copy(0, since, epoch)
+    def send_copy(self) -> mesh_messages.Rows:
+        """Send the gateway on standby the rows that it lacks, and return them."""
+        epoch, since = self.standby_exchange.delta_base(0)
+        rows = self.reader_exchange.copy(0, since, epoch)
         decoded = mesh_messages.decode(mesh_messages.encode(rows))
         assert isinstance(decoded, mesh_messages.Rows)
-        self.hear.apply_copy(decoded)
+        self.standby_exchange.apply_copy(decoded)
         return decoded
 
     def agree(self) -> bool:
-        same = self.reader.news().digest == self.rester.news().digest
+        same = self.reader.news().digest == self.standby.news().digest
         return same and self.kept.versions == self.copied.versions
 
 
-def test_a_peer_gets_the_changed_rows_alone() -> None:
+def test_a_peer_gets_only_the_changed_rows() -> None:
     pair = Pair()
     pair.read(5, *[(f"k{n}", b"1", 5) for n in range(300)])
-    assert len(pair.hand_on().rows) == 300
+    assert len(pair.send_copy().rows) == 300
     pair.read(7, ("k1", b"2", 6), ("k2", None, 7))
-    rows = pair.hand_on()
+    rows = pair.send_copy()
     assert sorted(row.key for row in rows.rows) == ["k1", "k2"]
     assert pair.agree()
 
@@ -230,12 +233,12 @@
 def test_a_peer_that_is_too_far_behind_gets_the_whole_table() -> None:
     pair = Pair()
     pair.read(5, ("a", b"1", 5), ("b", b"1", 5))
-    pair.hand_on()
+    pair.send_copy()
     version = 10
     for n in range(followers.MAX_TOMBSTONES + 5):
         pair.read(version + 2 * n, (f"k{n}", b"1", version + 2 * n))
         pair.read(version + 2 * n + 1, (f"k{n}", None, version + 2 * n + 1))
-    assert pair.hand_on().since == -1
+    assert pair.send_copy().since == -1
     assert pair.agree()
 
 
@@ -255,8 +258,8 @@
             rows.append((key, None if gone else b"x", version))
         pair.read(version, *rows)
         if rng.random() < 0.5:
-            pair.hand_on()
-    pair.hand_on()
+            pair.send_copy()
+    pair.send_copy()
     assert pair.agree()
 
 
@@ -264,41 +267,43 @@
 
 
 @pytest.mark.parametrize(("gateways", "groups"), [(7, 1), (14, 1), (33, 2), (100, 8)])
-def test_a_reader_hands_rows_to_a_few_gateways(gateways: int, groups: int) -> None:
+def test_a_reader_serves_a_bounded_group_of_gateways(
+    gateways: int, groups: int
+) -> None:
     names = [f"gw-{number:03}" for number in range(gateways)]
     sizes = collections.Counter(mesh_plan.reader_group(n, gateways) for n in names)
     assert len(sizes) == groups
     assert max(sizes.values()) <= 2 * gateways / groups
 
 
-def test_one_that_starts_asks_a_few_of_many_for_their_tables() -> None:
+def test_a_starting_gateway_requests_tables_from_a_few_peers_only() -> None:
     fleet = fleetcase.Fleet(1, 30)
     fleet.run(2.0)
     late = fleet.members[0]
-    asked: list[str] = []
+    requested_from: list[str] = []
 
-    class Behind(fleetcase.Table):
-        """Knows nothing yet, so that each copy would help."""
+    class EmptyRowSource(fleetcase.FakeRowSource):
+        """Has no rows yet, so that each copy would help."""
 
         def record_news(
             self, table: int, news: object, is_far: bool, epoch_age_s: float
         ) -> bool:
             return True
 
-    def note(peer: mesh_peers.Peer, message: object) -> bool:
-        asked.append(peer.name)
+    def record(peer: mesh_peers.Peer, message: object) -> bool:
+        requested_from.append(peer.name)
         return True
 
-    late.mesh.source = Behind()  # type: ignore[assignment]
-    late.mesh._send = note  # type: ignore[method-assign]
+    late.mesh.source = EmptyRowSource()  # type: ignore[assignment]
+    late.mesh._send = record  # type: ignore[method-assign]
     news = [mesh_messages.TableNews(5, 1, 0.0)]
     for member in fleet.members[1:]:
         member.table.news = lambda: news  # type: ignore[method-assign]
     fleet.run(2.0)
-    assert 2 <= len(asked) <= 2 * (1 + 2.0 / mesh.ASK_PAUSE_S)
+    assert 2 <= len(requested_from) <= 2 * (1 + 2.0 / mesh.ASK_PAUSE_S)
 
 
-# -- A hall of many --
+# -- A large hall --
 
 
 @pytest.fixture(scope="module")
@@ -309,7 +314,9 @@
     return fleet
 
 
-def test_all_of_a_large_hall_are_known(hall: fleetcase.Fleet) -> None:
+def test_large_halls_know_all_members_and_have_two_relays_each(
+    hall: fleetcase.Fleet,
+) -> None:
     assert {m.mesh.members() for m in hall.members} == {100}
     assert len(hall.hall_relays()) == 4
 
@@ -320,10 +327,14 @@
     assert took_s <= 0.3
 
 
-def test_talk_in_a_hall_does_not_grow_with_its_gateways_squared(
+def test_gossip_in_a_hall_does_not_grow_with_the_square_of_its_gateways(
     hall: fleetcase.Fleet,
 ) -> None:
-    """30 kB/s a gateway are allowed; 33 in a hall sent 82 with all told to all."""
+    """Guards against gossip that grows with the square of a hall's gateways.
+
+    30 kB/s are allowed for each gateway; each of 33 in a hall sent 82 kB/s while all
+    sent everything to all.
+    """
     before = hall.near_bytes
     hall.run(3.0)
     assert (hall.near_bytes - before) / 3.0 / 100 <= 30_000
--- a/misc/proofs_gateway_mesh.py
+++ b/misc/proofs_gateway_mesh.py
@@ -36,9 +36,9 @@
     ),
     proofs.gateway(
         "halts and newer rows go to far peers at once",
-        "testfleet.py::test_far_peers_get_fewer_beats_and_halts_at_once",
+        "testfleet.py::test_far_peers_get_fewer_heartbeats_but_halts_at_once",
         "mesh_peers.py",
-        "    if news.urgent != peer.told.urgent:\n",
+        "    if news.urgent != peer.last_sent.urgent:\n",
         "    if False:\n",
     ),
     proofs.gateway(
@@ -59,15 +59,15 @@
         "carriers that fell silent are passed by",
         "testhalls.py::test_carriers_that_fail_are_passed_by",
         "mesh_plan.py",
-        "if peer.heard_at >= now - HEARD_S and peer.beat",
-        "if peer.beat",
+        "if peer.last_seen_at >= now - RELAY_TIMEOUT_S\n        and peer.beat\n",
+        "if peer.beat\n",
     ),
     proofs.gateway(
         "one who is spoken to and does not carry names those who do",
         "testhalls.py::test_a_gateway_that_is_spoken_to_and_does_not_carry_names_those"
         "_who_do",
         "mesh.py",
-        "chosen = mesh_plan.to_correct(self._far(), now)",
+        "chosen = mesh_plan.misdirected_senders(self._far(), now)",
         "chosen = []",
     ),
     proofs.gateway(
@@ -104,7 +104,7 @@
         "testhalls.py::test_evidence_costs_as_much_between_halls_whatever_gateways"
         "_they_have",
         "mesh_beats.py",
-        "return self._evidence.sums_since(peer.tick, name, is_near)",
+        "return self._evidence.sums_since(peer.evidence_tick, name, is_near)",
         "return [c for c in counters if is_near(c.source)]",
     ),
     proofs.gateway(
@@ -119,7 +119,7 @@
         "testquarantine.py::test_ends_that_three_gateways_saw_hold_a_request"
         "_everywhere",
         "mesh_beats.py",
-        "        if not self._carried:\n"
+        "        if not self._is_relay:\n"
         "            return (quarantine.Origin.OWN,)\n",
         "        if True:\n            return (quarantine.Origin.OWN,)\n",
     ),
@@ -128,7 +128,7 @@
         "testquarantine.py::test_a_gateway_that_was_cut_off_hears_what_is_held_when"
         "_it_is_back",
         "mesh.py",
-        "include_held = now >= peer.held_told_at + quarantine.HELD_RESEND_S",
+        "include_held = now >= peer.held_sent_at + quarantine.HELD_RESEND_S",
         "include_held = False",
     ),
     proofs.gateway(
@@ -147,7 +147,7 @@
         "a gateway that is cut off goes by the fleet as it was",
         "testwarmup.py::test_a_fleet_that_falls_apart_goes_by_what_it_was",
         "mesh_members.py",
-        "return max(self._counted.value, self._told_most.value)",
+        "return max(self._counted_peak.value, self._reported_peak.value)",
         "return self.members()",
     ),
     proofs.gateway(
@@ -155,7 +155,7 @@
         "testhalls.py::test_a_gateway_that_left_the_store_to_others_knows_when_it_came"
         "_back",
         "mesh_members.py",
-        "return min(self._clock.now(), self._answered_since)",
+        "return min(self._clock.now(), self._store_answers_since)",
         "return self._clock.now()",
     ),
 )
