--- a/gaprock/event_source.py
+++ b/gaprock/event_source.py
@@ -1,14 +1,14 @@
-"""The whole events of one send's stream."""
+"""Reads complete events from the response stream of one send."""
 
 from gaprock import clock, directory, event_stream, gateway_attempt, http_exchange
 
 
 class Broken(Exception):
-    """A stream ended before it was whole."""
+    """A stream ended before it was complete."""
 
 
 class EventSource:
-    """The events of one send."""
+    """Reads the events of one send."""
 
     __slots__ = ("attempt", "_splitter", "_clock", "_directory")
 
@@ -24,9 +24,9 @@
         self._splitter = event_stream.Splitter()
 
     def next_events(self, deadline: float) -> list[event_stream.Event]:
-        """Wait for events; none is the stream's whole end.
+        """Wait for events and return them; an empty list is the end of the stream.
 
-        :raises Broken: when it broke off.
+        :raises Broken: when the stream broke off.
         :raises http_exchange.TimedOut: when the deadline passed.
         """
         while True:
--- a/gaprock/gateway_own_rows.py
+++ b/gaprock/gateway_own_rows.py
@@ -1,15 +1,15 @@
-"""What a gateway does with its own rows at its start, and after the store lost them.
+"""Reads and writes the gateways' own rows at the start, and after the store lost them.
 
-It reads where the others take messages and when rollouts began, begins to follow the
-tables, and writes where it takes messages itself.
+A starting gateway reads the addresses of its peers and the start times of rollouts,
+starts to follow the tables, and writes its own address.
 
-Of two gateways that start together, at least one has to find the other one's row.  Each
-reads once after its own row is written, so the later of the two readings comes after
-both writings.  A gateway whose row still stands from an earlier life need not write it
-nor read again, which is a third of the calls of a restart.
+Of two gateways that start at the same time, at least one must find the other's row.
+Each reads once after its own row is written, so the later of the two reads comes after
+both writes.  A gateway whose row is still there from an earlier incarnation need not
+write it or read again, which saves a third of the calls of a restart.
 
-A store that is restored from a backup may lack a row that was written just before, so
-it is written again.
+A store that is restored from a backup may lack a row that was written shortly before,
+so the row is written again.
 """
 
 import random
@@ -32,22 +32,22 @@
     store_epochs,
 )
 
-# Pause before a call that the store did not answer is made again, seconds.
+# Pause before a call that the store did not answer is retried.
 RETRY_S: typing.Final = 0.5
-# A row that is older than this is in every copy that a store may be restored from,
-# seconds.
-COPIED_S: typing.Final = 60.0
-# Pause between two looks at the store's epoch, seconds, and how far the writings of
-# many gateways are spread after a restore.
-EPOCH_LOOK_S: typing.Final = 0.5
-SPREAD_S: typing.Final = 2.0
+# A row that is older than this is contained in every backup that the store may be
+# restored from.
+BACKUP_LAG_S: typing.Final = 60.0
+# Interval at which the store's epoch is checked.
+EPOCH_CHECK_INTERVAL_S: typing.Final = 0.5
+# After a restore, the writes of many gateways are spread over this time.
+REWRITE_SPREAD_S: typing.Final = 2.0
 
 
 class OwnRowsTask:
-    """Runs on a thread of its own.
+    """Maintains this gateway's own row; runs on a thread of its own.
 
     :param name: this gateway's name.
-    :param table: the table of our own rows.
+    :param table: the table of the gateways' own rows.
     """
 
     __slots__ = (
@@ -96,60 +96,63 @@
         self._writer = writer
         self._followers = followers_
         self._is_first_start = is_first_start
-        # Whether the store was seen to have our row as it should be.
+        # Whether the store was seen to hold our row with its present content.
         self._is_announced = not mesh_.address
-        # When our row was last written; our start, if it stood there before.
+        # When our row was last written; our start time, if it was there already.
         self._announced_at = clock_.now()
         self._epochs = epochs or store_epochs.EpochTracker(clock_)
-        # The store's epoch in which the row was written.
+        # The store's epoch in which our row was written.
         self._epoch = -1
         self._stopped = threading.Event()
-        # Pause after the last call that failed.
+        # Pause before the next retry, as the last failed call asked for.
         self._retry_s = RETRY_S
 
     def run(self) -> None:
-        """Read the rows, follow the tables, and see that our row stays written.
+        """Read the rows, start the followers, and keep our row written.
 
-        The tables are followed at once when the store does not answer: peers' copies
-        may come before it does.
+        The followers start even if the store does not answer, because copies from peers
+        may arrive before it does.
         """
         if self._is_first_start:
-            # All begin at once and nobody waits for us yet: with the row first, one
-            # reading finds the others.
+            # All gateways start at once and nobody waits for us yet.  When each writes
+            # its row first, a single read finds the others.
             self._announce()
         is_read = self._read()
         for follower in self._followers:
             follower.start()
         if not is_read:
-            self._until_done(self._read)
+            self._retry_until_done(self._read)
         if not self._is_announced:
-            self._until_done(self._announce)
-            self._until_done(self._read)
-        while self._mesh.address and not self._stopped.wait(EPOCH_LOOK_S):
-            self.look()
+            self._retry_until_done(self._announce)
+            self._retry_until_done(self._read)
+        while self._mesh.address and not self._stopped.wait(EPOCH_CHECK_INTERVAL_S):
+            self.check_epoch()
 
-    def look(self) -> None:
+    def check_epoch(self) -> None:
         """Write our row again if a restore of the store may have lost it."""
         if self._epochs.newest <= self._epoch:
             return
         old, self._epoch = self._epoch, self._epochs.newest
-        if self._clock.now() > self._announced_at + COPIED_S:
+        if self._clock.now() > self._announced_at + BACKUP_LAG_S:
             return
         eventlog.info("rows-written-again", rows="peer", epoch=self._epoch, old=old)
-        self._stopped.wait(random.uniform(0.0, SPREAD_S))
-        self._until_done(self._announce)
+        self._stopped.wait(random.uniform(0.0, REWRITE_SPREAD_S))
+        self._retry_until_done(self._announce)
 
     def stop(self) -> None:
-        """End after the call under way."""
+        """Stop the thread after its current call."""
         self._stopped.set()
 
-    def _until_done(self, call: typing.Callable[[], bool]) -> None:
-        """Make a call again until it is done."""
+    def _retry_until_done(self, call: typing.Callable[[], bool]) -> None:
+        """Retry a call until it succeeds."""
         while not self._stopped.is_set() and not call():
             self._stopped.wait(self._retry_s)
 
     def _read(self) -> bool:
-        """Read the rows and take them; give whether the store answered."""
+        """Read and apply the rows.
+
+        :returns: whether the store answered.
+        """
         asked_at = self._clock.now()
         try:
             page = self._store.read(self._table)
@@ -178,16 +181,16 @@
         return gateway_rows.PeerRow(self._mesh.address, self._mesh.hall)
 
     def _announce(self) -> bool:
-        """Write where we take messages, for gateways that start later.
+        """Write our address, for gateways that start later.
 
-        Two that start together find each other by these rows alone, so an answer that
-        is lost may not pass for a row that is written.
+        Gateways that start together find each other only by these rows, so a lost
+        answer must not count as a written row.
 
-        :returns: whether it is done.
+        :returns: whether the row is written.
         """
         if not self._mesh.address:
             return True
-        # A restore while the answer is under way may lose the row.
+        # A restore before the answer arrives may lose the row.
         epoch = self._epochs.newest
         key = gateway_rows.PEER_PREFIX + self._name
         value = msgspec.json.encode(self._row)
--- a/gaprock/gateway_rows.py
+++ b/gaprock/gateway_rows.py
@@ -1,6 +1,6 @@
-"""Takes the rows of the shared store into force: routes, endpoints, rollouts.
+"""Applies the rows of the shared store: configuration, endpoints, rollouts, peers.
 
-A row that cannot be decoded names nothing (``invalid_rows``).
+A row that cannot be decoded is ignored (``invalid_rows``).
 """
 
 import threading
@@ -24,99 +24,99 @@
 
 
 class OrderRows:
-    """The operator's rows: the routing configuration and rollout orders."""
+    """Applies the operator's rows: configuration, rollout orders, cordoned halls."""
 
     def __init__(
         self,
         clock_: clock.Clock,
         dialect: gateway_api.Dialect,
         rollouts_: rollouts.Rollouts,
-        on_emptied: typing.Callable[[frozenset[str]], None] = lambda halls: None,
+        on_cordon_change: typing.Callable[[frozenset[str]], None] = lambda halls: None,
     ) -> None:
         self._clock = clock_
         self._dialect = dialect
         self._rollouts = rollouts_
-        # Told the halls that are to be empty, as often as that changes.
-        self._on_emptied = on_emptied
-        self._emptied: frozenset[str] = frozenset()
-        # Those whose orders a restored store lost, and until when the operator may
-        # write them again.
-        self._doubted: set[str] = set()
-        self._doubted_until = -clock.NEVER
-        # The store's epoch of the rows that were taken.
+        # Called with all cordoned halls whenever they change.
+        self._on_cordon_change = on_cordon_change
+        self._cordoned: frozenset[str] = frozenset()
+        # Halls that stay cordoned although a restored store lost their orders, and the
+        # time until which the operator may write these again.
+        self._tentative: set[str] = set()
+        self._tentative_until = -clock.NEVER
+        # The store's epoch of the rows that were applied last.
         self._epoch = 0
         self.invalid = invalid_rows.InvalidRows("orders", clock_)
-        # The configuration in force, and its row; ``None`` before the first one.
+        # The configuration in effect, and its row; ``None`` before the first one.
         self.table: routes.RouteTable | None = None
         self.config_row: gateway_api.Row | None = None
-        # Rows come from the store, and a configuration from peers too.
+        # Rows come from the store's thread, configurations from peers as well.
         self._lock = threading.Lock()
-        # Starts of rollouts that were found in the store, by (service, revision).
+        # Start times of rollouts that the store had, by (service, revision).
         self.starts: dict[tuple[str, int], float] = {}
 
     def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
-        """Take changed rows, or the whole table."""
+        """Apply changed rows, or replace the whole table."""
         is_restored = page.epoch > self._epoch
         self._epoch = page.epoch
-        self._take_emptied(page.rows, whole, is_restored)
+        self._apply_cordons(page.rows, whole, is_restored)
         for row in page.rows:
             if row.value is None:
                 continue
             try:
-                self._take(row, row.value)
+                self._apply_row(row, row.value)
             except gateway_api.InvalidDocument as exc:
                 self.invalid.record(row, exc)
 
-    def _take_emptied(
+    def _apply_cordons(
         self, rows: list[gateway_api.Row], whole: bool, is_restored: bool
     ) -> None:
-        """Take the halls that are to be empty: an order stands as long as its row.
+        """Apply the orders to cordon halls; each is valid as long as its row exists.
 
-        One that a restored store lacks stands until the operator has had time to write
-        it again.
+        An order that a restored store lacks stays valid until the operator has had time
+        to write it again.
         """
         named = [(self._dialect.emptied_hall(row.key), row.value) for row in rows]
         ordered = {hall for hall, value in named if hall and value is not None}
         ended = {hall for hall, value in named if hall and value is None}
         if is_restored:
-            self._doubted = set(self._emptied)
-            self._doubted_until = self._clock.now() + store_epochs.RESTORE_GRACE_S
-        self._doubted -= ordered | ended
-        before = self._doubted if whole else self._emptied - ended
-        self._set_emptied(before | ordered)
+            self._tentative = set(self._cordoned)
+            self._tentative_until = self._clock.now() + store_epochs.RESTORE_GRACE_S
+        self._tentative -= ordered | ended
+        before = self._tentative if whole else self._cordoned - ended
+        self._set_cordoned(before | ordered)
 
     def end_restore_grace(self) -> None:
-        """Drop the orders that a restored store lost and nobody has written again."""
-        if self._doubted and self._clock.now() > self._doubted_until:
-            doubted, self._doubted = self._doubted, set()
-            eventlog.warning("hall-orders-lost", halls=",".join(sorted(doubted)))
-            self._set_emptied(self._emptied - doubted)
+        """Drop orders that a restored store lost and that were not written again."""
+        if self._tentative and self._clock.now() > self._tentative_until:
+            dropped, self._tentative = self._tentative, set()
+            eventlog.warning("hall-orders-lost", halls=",".join(sorted(dropped)))
+            self._set_cordoned(self._cordoned - dropped)
 
-    def _set_emptied(self, halls: typing.Collection[str]) -> None:
+    def _set_cordoned(self, halls: typing.Collection[str]) -> None:
         halls = frozenset(halls)
-        if halls != self._emptied:
-            self._emptied = halls
-            self._on_emptied(halls)
+        if halls != self._cordoned:
+            self._cordoned = halls
+            self._on_cordon_change(halls)
 
     @property
     def config_number(self) -> int:
-        """The number of the configuration in force; 0 before the first one."""
+        """The number of the configuration in effect; 0 before the first one."""
         return self.table.number if self.table is not None else 0
 
     def apply_config(self, row: gateway_api.Row) -> None:
-        """Take the row of a configuration from a peer; an older one is not taken."""
+        """Apply the configuration row of a peer, unless it is older than ours."""
         try:
             table = self._dialect.route_table(row.key, row.value or b"")
         except gateway_api.InvalidDocument as exc:
             self.invalid.record(row, exc)
             return
         if table is not None:
-            self._take_table(table, row)
+            self._set_config(table, row)
 
-    def _take(self, row: gateway_api.Row, value: bytes) -> None:
+    def _apply_row(self, row: gateway_api.Row, value: bytes) -> None:
         table = self._dialect.route_table(row.key, value)
         if table is not None:
-            self._take_table(table, row)
+            self._set_config(table, row)
             return
         order = self._dialect.order(row.key, value)
         if order is not None:
@@ -125,7 +125,7 @@
             started_at = now if found is None else min(found, now)
             self._rollouts.add_order(order, row.version, started_at, self._epoch)
 
-    def _take_table(self, table: routes.RouteTable, row: gateway_api.Row) -> None:
+    def _set_config(self, table: routes.RouteTable, row: gateway_api.Row) -> None:
         with self._lock:
             old = self.table
             if old is not None and table.number <= old.number:
@@ -145,7 +145,7 @@
 
 
 class EndpointRows:
-    """The endpoints' rows."""
+    """Applies the endpoints' rows."""
 
     __slots__ = ("_dialect", "_directory", "_epochs", "_epoch", "invalid")
 
@@ -159,12 +159,12 @@
         self._dialect = dialect
         self._directory = directory_
         self._epochs = epochs or store_epochs.EpochTracker(clock_)
-        # The store's epoch of the rows that were taken; ``None`` before any.
+        # The store's epoch of the rows that were applied last; ``None`` before any.
         self._epoch: int | None = None
         self.invalid = invalid_rows.InvalidRows("endpoints", clock_)
 
     def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
-        """Take changed rows, or the whole table."""
+        """Apply changed rows, or replace the whole table."""
         found = {}
         for row in page.rows:
             if row.value is None:
@@ -174,7 +174,7 @@
                 found[row.key] = self._dialect.endpoint(row.key, row.value)
             except gateway_api.InvalidDocument as exc:
                 self.invalid.record(row, exc)
-                # What stood there before is written over: it names nothing any more.
+                # The row has replaced a valid one, so the endpoint is gone.
                 self._directory.update(row.key, None)
         is_restored = self._epoch is not None and page.epoch > self._epoch
         self._epoch = page.epoch
@@ -187,7 +187,7 @@
 
 
 class OutcomeRows:
-    """The rows that tell what became of rollouts."""
+    """Applies the rows that hold the outcomes of rollouts."""
 
     __slots__ = ("_dialect", "_rollouts", "_writer", "invalid")
 
@@ -204,19 +204,19 @@
         self.invalid = invalid_rows.InvalidRows("outcomes", clock_)
 
     def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
-        """Take changed rows, or the whole table."""
+        """Apply changed rows, or replace the whole table."""
         if page.epoch > self._writer.epoch:
-            self._take_epoch(page)
+            self._begin_epoch(page)
         for row in page.rows:
             if row.value is None:
                 continue
             try:
-                self._take(row, row.value)
+                self._apply_row(row, row.value)
             except gateway_api.InvalidDocument as exc:
                 self.invalid.record(row, exc)
 
-    def _take_epoch(self, page: gateway_api.Page) -> None:
-        """Begin a new epoch of the store, which may have lost outcomes."""
+    def _begin_epoch(self, page: gateway_api.Page) -> None:
+        """Start a new epoch of the store, which may have lost outcomes."""
         keys = {row.key for row in page.rows if row.value is not None}
         for service in self._writer.row_versions:
             if self._dialect.outcome_key(service) not in keys:
@@ -224,14 +224,14 @@
         self._writer.row_versions.clear()
         self._writer.epoch = page.epoch
 
-    def _take(self, row: gateway_api.Row, value: bytes) -> None:
+    def _apply_row(self, row: gateway_api.Row, value: bytes) -> None:
         found = self._dialect.outcome(row.key, value)
         if found is None:
             return
         service, version, name = found
         state = rollout_state.STATES.get(name)
         if state is None:
-            raise gateway_api.InvalidDocument(f"no such state: {name!r}")
+            raise gateway_api.InvalidDocument(f"unknown rollout state: {name!r}")
         known = self._writer.row_versions.get(service, 0)
         self._writer.row_versions[service] = max(known, row.version)
         outcome = rollout_state.Outcome(version, state, row.version, self._writer.epoch)
@@ -239,18 +239,18 @@
 
 
 PEER_PREFIX: typing.Final = "peer/"
-PEER_ADDRESS: typing.Final = r"^tcp://[^/\s:]+:[0-9]{1,5}$"
+PEER_ADDRESS_PATTERN: typing.Final = r"^tcp://[^/\s:]+:[0-9]{1,5}$"
 
 
 class PeerRow(msgspec.Struct):
-    """Where a gateway takes messages, and the hall where it stands."""
+    """The address at which a gateway receives messages, and its hall."""
 
-    address: typing.Annotated[str, msgspec.Meta(pattern=PEER_ADDRESS)]
+    address: typing.Annotated[str, msgspec.Meta(pattern=PEER_ADDRESS_PATTERN)]
     hall: str = ""
 
 
 class OwnRows:
-    """The gateway's own rows, read once at the start: peers and starts of rollouts."""
+    """The table of gateways' own rows, decoded: peers and start times of rollouts."""
 
     __slots__ = ("peers", "starts")
 
@@ -261,25 +261,28 @@
         store_clock: freshness.StoreClock,
     ) -> None:
         invalid = invalid_rows.InvalidRows("own", clock_)
-        # By the gateways' names.
+        # Peers by the names of their gateways.
         self.peers: dict[str, PeerRow] = {}
         self.starts: dict[tuple[str, int], float] = {}
         for row in page.rows:
             if row.value is None:
                 continue
             try:
-                self._take(row.key, row.value, store_clock)
+                self._apply_row(row.key, row.value, store_clock)
             except gateway_api.InvalidDocument as exc:
                 invalid.record(row, exc)
 
-    def _take(self, key: str, value: bytes, store_clock: freshness.StoreClock) -> None:
+    def _apply_row(
+        self, key: str, value: bytes, store_clock: freshness.StoreClock
+    ) -> None:
         if key.startswith(PEER_PREFIX):
             name = key[len(PEER_PREFIX) :]
             self.peers[name] = invalid_rows.decode(PeerRow, value)
         elif key.startswith(rollout_writer.START_PREFIX):
             start = invalid_rows.decode(rollout_writer.StartRow, value)
             service = key[len(rollout_writer.START_PREFIX) :]
-            # Too late a start is put right by the next beat, too early a one never is.
-            started_at = store_clock.latest(start.started)
+            # The next heartbeat corrects a start that is too late, but none corrects
+            # one that is too early.
+            started_at = store_clock.latest_local(start.started)
             if started_at is not None:
                 self.starts[(service, start.revision)] = started_at
--- a/gaprock/gateway_store.py
+++ b/gaprock/gateway_store.py
@@ -1,6 +1,6 @@
-"""Counts and logs the calls to the shared store, each of which is priced.
+"""Counts and logs the calls to the shared store, because each of them is billed.
 
-``gaprock report`` sums them up by kind, table and moment.
+``gaprock report`` totals them by kind, table and time.
 """
 
 import typing
@@ -11,9 +11,9 @@
 
 
 class CountedStore(gateway_api.SharedStore):
-    """The store with a log line and a counter for each call.
+    """Wraps a store and adds a log line and a counter for each call.
 
-    :param store: makes the calls.
+    :param store: the store that is called.
     """
 
     __slots__ = ("_store", "_metrics")
--- a/gaprock/invalid_rows.py
+++ b/gaprock/invalid_rows.py
@@ -1,8 +1,8 @@
-"""Rows of the shared store that cannot be used: decoding, a bounded log, a count.
+"""Invalid rows of the shared store: decoding, rate-limited logging, counting.
 
-Other writers may put a row under any key: fields missing or of another type, numbers
-out of range, bytes that are no document.  Such a row names nothing to use, and all
-other rows hold.
+Other writers may put anything into a row: fields missing or of the wrong type, numbers
+out of range, bytes that are not a document.  Such a row is ignored, and all other rows
+keep their effect.
 """
 
 import collections
@@ -12,40 +12,41 @@
 
 from gaprock import clock, eventlog, gateway_api
 
-# A row that stays odd is logged again after this time, seconds, and so many are known.
+# A row that stays invalid is logged again after this time.
 LOG_EVERY_S: typing.Final = 10.0
-MAX_KNOWN: typing.Final = 1000
-# What is shown of an error, characters.
-MAX_ERROR: typing.Final = 200
+# Keys whose last log time is remembered.
+MAX_LOGGED_KEYS: typing.Final = 1000
+# Longest part of an error message that is shown, in characters.
+MAX_ERROR_CHARS: typing.Final = 200
 D = typing.TypeVar("D")
 
 
 def decode(kind: type[D], value: bytes) -> D:
     """Decode a JSON document.
 
-    :raises gateway_api.InvalidDocument: naming the field.
+    :raises gateway_api.InvalidDocument: with a message that names the field.
     """
     try:
         return msgspec.json.decode(value, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
-        raise gateway_api.InvalidDocument(str(exc)[:MAX_ERROR]) from exc
+        raise gateway_api.InvalidDocument(str(exc)[:MAX_ERROR_CHARS]) from exc
 
 
 class InvalidRows:
-    """The odd rows of one table, as its one follower meets them."""
+    """Counts and logs the invalid rows of one table, on its follower's thread."""
 
     __slots__ = ("table", "count", "_clock", "_logged")
 
     def __init__(self, table: str, clock_: clock.Clock) -> None:
         self.table = table
-        # How many were met.
+        # How many invalid rows were read.
         self.count = 0
         self._clock = clock_
-        # When each key was last logged, the longest ago first.
+        # When each key was last logged, oldest first.
         self._logged: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     def record(self, row: gateway_api.Row, exc: Exception) -> None:
-        """Count an odd row, and log it if it was not logged lately."""
+        """Count an invalid row, and log it unless it was logged recently."""
         self.count += 1
         now = self._clock.now()
         logged_at = self._logged.get(row.key)
@@ -53,7 +54,7 @@
             return
         self._logged[row.key] = now
         self._logged.move_to_end(row.key)
-        if len(self._logged) > MAX_KNOWN:
+        if len(self._logged) > MAX_LOGGED_KEYS:
             self._logged.popitem(last=False)
         eventlog.warning(
             "invalid-row",
--- a/gaprock/row_exchange.py
+++ b/gaprock/row_exchange.py
@@ -1,4 +1,4 @@
-"""Rows and proofs of the followed tables, given to and taken from other gateways."""
+"""Exchange of followed tables and of their freshness with other gateways."""
 
 import typing
 
@@ -11,32 +11,39 @@
     store_epochs,
 )
 
-# An epoch is told to be no older than this, seconds: beats stay short.
-OLDEST_EPOCH_S: typing.Final = 120.0
+# Longest age of an epoch that is sent; a bounded number keeps heartbeats short.
+MAX_EPOCH_AGE_S: typing.Final = 120.0
 
 
 class ConfigSink(typing.Protocol):
-    """Has the configuration in force."""
+    """Holds the configuration in effect."""
 
     config_row: gateway_api.Row | None
 
     @property
     def config_number(self) -> int:
-        """The number of the configuration in force; 0 before the first one."""
+        """The number of the configuration in effect; 0 before the first one."""
 
     def apply_config(self, row: gateway_api.Row) -> None:
-        """Take the row of a configuration from a peer."""
+        """Apply the configuration row of a peer."""
 
 
 class RowExchange:
-    """Copies of followed tables, and how fresh they are.
+    """Sends and applies copies of followed tables, and reports how fresh they are.
 
-    :param tables: in the order of ``mesh_messages.TABLES``.
-    :param epochs: learns of a new epoch from peers.
-    :param config: the configuration in force, which a restored store may lack.
+    :param tables: the followers, in the order of ``mesh_messages.TABLES``.
+    :param epochs: is informed of epochs that peers report.
+    :param config: holds the configuration in effect, which a restored store may lack.
     """
 
-    __slots__ = ("_followers", "_clock", "_epochs", "_config", "_missed", "_told")
+    __slots__ = (
+        "_followers",
+        "_clock",
+        "_epochs",
+        "_config",
+        "_peer_ahead",
+        "_peer_news",
+    )
 
     def __init__(
         self,
@@ -49,29 +56,30 @@
         self._clock = clock_
         self._epochs = epochs or store_epochs.EpochTracker(clock_)
         self._config = config
-        # The newest change that a peer told of and we lack, and since when, by table.
-        self._missed: dict[int, tuple[tuple[int, int], float]] = {}
-        # The newest proof that a peer told of each table.
-        self._told: dict[int, mesh_messages.TableNews] = {}
+        # The newest change that a peer has reported and we lack, and since when, by
+        # table.
+        self._peer_ahead: dict[int, tuple[tuple[int, int], float]] = {}
+        # What a peer last reported of each table.
+        self._peer_news: dict[int, mesh_messages.TableNews] = {}
 
     def news(self) -> list[mesh_messages.TableNews]:
-        """Give the newest change of each table, and its newest proof."""
+        """Return the newest change of each table, and when it was last verified."""
         return [follower.news() for follower in self._followers]
 
     def epoch_age_s(self) -> int:
-        """Give the seconds since we first heard of the store's epoch."""
-        return int(min(OLDEST_EPOCH_S, self._epochs.age_s))
+        """Return the seconds since the store's epoch was first reported."""
+        return int(min(MAX_EPOCH_AGE_S, self._epochs.age_s))
 
     def own_verified_at(self) -> list[float]:
-        """Give the newest proofs of our own calls, by the store's clock."""
-        return [follower.fresh.own_stamp for follower in self._followers]
+        """Return the store times at which our own calls last verified each table."""
+        return [follower.fresh.own_verified_store_time for follower in self._followers]
 
     def reads_store(self) -> bool:
-        """Whether we read the store ourselves, and it answers."""
+        """Whether this gateway reads the store itself, and the store answers."""
         return all(f.connected and not f.on_standby for f in self._followers)
 
     def has_store(self) -> bool:
-        """Whether the store answers us, whether we rest or not."""
+        """Whether the store answers us, even if some followers are on standby."""
         return all(follower.connected for follower in self._followers)
 
     def record_news(
@@ -81,34 +89,37 @@
         is_far: bool = False,
         epoch_age_s: float = 0.0,
     ) -> bool:
-        """Take what a peer knows of a table.
+        """Record what a peer reports of a table.
 
-        The store may hang without a word, so a peer that stays ahead for longer than
-        the store's own news takes is enough.  One who rests asks at once, but first in
-        its own hall.
+        The store may hang without an error.  A copy is therefore wanted as soon as a
+        peer stays ahead for longer than a change takes to arrive from the store.  A
+        follower on standby wants one at once from its own hall, and only after that
+        time from another.
 
-        :returns: whether a copy of the peer's would help.
+        :param is_far: whether the peer is in another hall.
+        :param epoch_age_s: how long ago the epoch was first reported.
+        :returns: whether a copy from the peer would help.
         """
         if not 0 <= table < len(self._followers):
             return False
         follower = self._followers[table]
         self._epochs.record(news.epoch, "peer", epoch_age_s)
-        # Saves more than a third of what four gateways call the store for, 0.0035 of a
-        # day's worth (six days).
+        # Saves more than a third of the store calls of four gateways, 0.0035 of a day's
+        # worth (six days).
         if mechanisms.TOLD_PROOFS.on:
-            follower.prove(news)
-            self._told[table] = news
+            follower.record_verification(news)
+            self._peer_news[table] = news
         now = self._clock.now()
         known = follower.epoch, follower.version
-        newest, since = self._missed.get(table, (news.point, now))
+        newest, since = self._peer_ahead.get(table, (news.point, now))
         newest = max(newest, news.point)
         if newest <= known:
-            self._missed.pop(table, None)
+            self._peer_ahead.pop(table, None)
             return False
-        if table not in self._missed:
+        if table not in self._peer_ahead:
             follower.expect_change()
-        # A peer that is as far behind as we are does not end the wait.
-        self._missed[table] = newest, since
+        # A peer that is as far behind as we are does not end the wait for the change.
+        self._peer_ahead[table] = newest, since
         if news.point <= known:
             return False
         if follower.on_standby and not is_far:
@@ -118,13 +129,13 @@
     # -- The configuration --
 
     def config_number(self) -> int:
-        """Give the number of the configuration in force here."""
+        """Return the number of the configuration in effect here."""
         return self._config.config_number if self._config is not None else 0
 
     def lacks_config(self, number: int, orders: mesh_messages.TableNews) -> bool:
-        """Whether a peer has a newer configuration that its rows do not bring us.
+        """Whether a peer has a newer configuration that copying its rows cannot bring.
 
-        :param orders: what the peer knows of the table of orders.
+        :param orders: what the peer reports of the table of orders.
         """
         if self._config is None or number <= self._config.config_number:
             return False
@@ -132,7 +143,7 @@
         return orders.point <= (follower.epoch, follower.version)
 
     def config_copy(self) -> mesh_messages.ConfigCopy | None:
-        """Give the configuration in force; ``None`` before the first one."""
+        """Return the configuration in effect; ``None`` before the first one."""
         row = self._config.config_row if self._config is not None else None
         if row is None:
             return None
@@ -140,7 +151,7 @@
         return mesh_messages.ConfigCopy(copy)
 
     def apply_config(self, copy: mesh_messages.ConfigCopy) -> None:
-        """Take a peer's configuration."""
+        """Apply a peer's configuration."""
         if self._config is not None:
             row = gateway_api.Row(copy.row.key, copy.row.value, copy.row.version)
             self._config.apply_config(row)
@@ -148,15 +159,15 @@
     # -- Rows --
 
     def delta_base(self, table: int) -> tuple[int, int]:
-        """Give the epoch and version after which a table's changes help us.
+        """Return the epoch and version that a delta of a table can build on.
 
-        :returns: a version of -1 where all of it is needed.
+        :returns: a version of -1 where the whole table is needed.
         """
         follower = self._followers[table]
         return follower.epoch, follower.delta_base
 
     def copy(self, table: int, since: int = -1, epoch: int = 0) -> mesh_messages.Rows:
-        """Give a table, or what has changed in it after a version if that is known."""
+        """Return a table, or its changes after a version if all of them are known."""
         follower = self._followers[table]
         rows = follower.changes_after(epoch, since) if since >= 0 else None
         if rows is None:
@@ -169,15 +180,15 @@
         )
 
     def apply_copy(self, rows: mesh_messages.Rows) -> None:
-        """Take a table, or its changes, from a peer."""
+        """Apply a table, or its changes, from a peer."""
         found = [gateway_api.Row(r.key, r.value, r.version) for r in rows.rows]
-        # A copy tells nothing of the store's clock.
+        # A copy carries no time of the store's clock.
         page = gateway_api.Page(found, rows.version, 0.0, rows.epoch)
         follower = self._followers[rows.table]
         if rows.since < 0:
             follower.apply_copy(page)
         else:
-            follower.take_difference(page, rows.since)
-        if rows.table in self._told:
-            # Saves asking the store for a proof of what was just told.
-            follower.prove(self._told[rows.table])
+            follower.apply_delta(page, rows.since)
+        if rows.table in self._peer_news:
+            # Saves a store call to verify the rows that were just copied.
+            follower.record_verification(self._peer_news[rows.table])
--- a/gaprock/store_epochs.py
+++ b/gaprock/store_epochs.py
@@ -1,7 +1,7 @@
-"""The shared store's epoch, which rises each time it is restored from a backup.
+"""The shared store's epoch, which is raised whenever it is restored from a backup.
 
-A restored store lacks its latest writes and gives their version numbers out again, so
-versions are compared within one epoch alone.
+A restored store lacks its latest writes and assigns their version numbers again, so
+versions may be compared only within one epoch.
 """
 
 import threading
@@ -9,31 +9,31 @@
 
 from gaprock import clock, eventlog
 
-# Within this time after a restore, seconds, the operator and the endpoints have written
-# again what it lost.  Until then a row that contradicts what was known is doubted.
+# Grace period after a restore, in which the operator and the endpoints write lost rows
+# again.  Until it ends, a row that contradicts earlier knowledge is not relied on.
 RESTORE_GRACE_S: typing.Final = 10.0
 
 
 class EpochTracker:
-    """The newest epoch that the store or another gateway told; safe for all threads."""
+    """The newest epoch that the store or a peer has reported; thread-safe."""
 
     __slots__ = ("_clock", "_lock", "newest", "raised_at", "restores")
 
     def __init__(self, clock_: clock.Clock) -> None:
         self._clock = clock_
         self._lock = threading.Lock()
-        # -1 before anybody told one.
+        # -1 before the first report.
         self.newest = -1
-        # When it began, as far as is known: when anybody first heard of it.
+        # When the epoch began, as far as is known: when any gateway first saw it.
         self.raised_at = -clock.NEVER
-        # How many times it rose since our start.
+        # How many times the epoch was raised since this process started.
         self.restores = 0
 
     def record(self, epoch: int, source: str, age_s: float = 0.0) -> None:
-        """Take an epoch; an earlier one changes nothing.
+        """Record a reported epoch; one older than the newest is ignored.
 
-        :param source: who told it, for the log.
-        :param age_s: seconds since it was first heard of there.
+        :param source: who reported it, for the log.
+        :param age_s: how long ago it was first seen there.
         """
         if epoch < self.newest:
             return
@@ -51,5 +51,5 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the newest epoch was first heard of."""
+        """Seconds since the newest epoch was first seen."""
         return self._clock.now() - self.raised_at
--- a/gaprock/table_batch.py
+++ b/gaprock/table_batch.py
@@ -1,8 +1,8 @@
 """Group commit: single-row writes of many threads in one transaction.
 
-The table is rate-limited, and everyone arrives in the same minute.  A write is
-conditional and carries a transaction id in its row, so that one whose answer
-was lost is settled by reading the id back.
+The table is rate-limited, and most writes come within the same minute.  A write is
+conditional and stores a transaction id in its row, so if the answer is lost, reading
+the row shows whether the write took effect.
 """
 
 import queue
@@ -12,30 +12,30 @@
 
 from gaprock import clock, services_api
 
-BATCH: typing.Final = 100
-# Pause before another try when the table asks for one, at most, seconds.
+MAX_BATCH: typing.Final = 100
+# Longest pause before a retry that the table asks for.
 MAX_PAUSE_S: typing.Final = 0.25
 
-# ``None`` when the write took effect, else the row that stood in its way.
+# ``None`` if the write took effect, else the row that failed its condition.
 Outcome = services_api.Row | None
 
 
 class Write:
-    """One write that waits for its group."""
+    """A write that waits to be committed."""
 
-    __slots__ = ("op", "deadline", "fut", "sent")
+    __slots__ = ("op", "deadline", "future", "sent")
 
     def __init__(self, op: services_api.Op, deadline: float) -> None:
         self.op = op
-        # No further try is begun after this.
+        # No further attempt starts after this.
         self.deadline = deadline
-        self.fut: futures.Future[Outcome] = futures.Future()
-        # Whether a try of it may have taken effect.
+        self.future: futures.Future[Outcome] = futures.Future()
+        # Whether an earlier attempt may have taken effect.
         self.sent = False
 
 
 class Batcher:
-    """Commits writes in groups, with one thread."""
+    """Commits writes in groups on a thread of its own."""
 
     __slots__ = ("_table", "_clock", "_queue", "_thread")
 
@@ -48,23 +48,23 @@
         )
 
     def start(self) -> None:
-        """Begin to commit."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Commit what waits and end."""
+        """Commit the queued writes and stop the thread."""
         self._queue.put(None)
         self._thread.join()
 
     def submit(self, op: services_api.Op, deadline: float) -> futures.Future[Outcome]:
-        """Ask for a write.
+        """Queue a write.
 
-        :returns: a future of the outcome; it raises ``services_api.AnswerLost``
-            when it may take effect yet, ``services_api.PlatformError`` when not.
+        :returns: a future of the outcome; it raises ``services_api.AnswerLost`` if the
+            write may still take effect, ``services_api.PlatformError`` if it cannot.
         """
         write = Write(op, deadline)
         self._queue.put(write)
-        return write.fut
+        return write.future
 
     def _run(self) -> None:
         while True:
@@ -72,7 +72,7 @@
             if write is None:
                 return
             group = [write]
-            while len(group) < BATCH and not self._queue.empty():
+            while len(group) < MAX_BATCH and not self._queue.empty():
                 more = self._queue.get()
                 if more is None:
                     self._queue.put(None)
@@ -81,7 +81,7 @@
             self._commit(group)
 
     def _commit(self, group: list[Write]) -> None:
-        """Commit a group; two writes to one row go one after the other."""
+        """Commit a group; writes to the same row are committed one after another."""
         while group:
             first: dict[str, Write] = {}
             later: list[Write] = []
@@ -100,21 +100,21 @@
             except services_api.AnswerLost as exc:
                 for write in group:
                     write.sent = True
-                group = self._read_back(group, exc)
+                group = self._settle_by_reading(group, exc)
                 continue
             except services_api.PlatformError as exc:
                 group = self._pause(group, exc)
                 continue
             if result.ok:
                 for write in group:
-                    write.fut.set_result(None)
+                    write.future.set_result(None)
                 return
-            group = self._take_out(group, result.failed)
+            group = self._settle_failed(group, result.failed)
 
-    def _take_out(
+    def _settle_failed(
         self, group: list[Write], rows: list[services_api.Row]
     ) -> list[Write]:
-        """Settle the writes whose condition failed and give the others."""
+        """Settle the writes whose condition failed and return the others."""
         failed = {row.key: row for row in rows}
         rest = []
         for write in group:
@@ -122,13 +122,13 @@
             if row is None:
                 rest.append(write)
             else:
-                write.fut.set_result(None if _is_ours(write, row) else row)
+                write.future.set_result(None if _is_ours(write, row) else row)
         return rest
 
-    def _read_back(
+    def _settle_by_reading(
         self, group: list[Write], exc: services_api.AnswerLost
     ) -> list[Write]:
-        """After a lost answer, see which writes took effect; give the others."""
+        """After a lost answer, settle the writes by their rows; return the others."""
         try:
             rows = self._table.read([write.op.key for write in group])
         except services_api.PlatformError:
@@ -136,19 +136,19 @@
         rest = []
         for write, row in zip(group, rows):
             if _is_ours(write, row):
-                write.fut.set_result(None)
+                write.future.set_result(None)
             elif row.version != write.op.expect:
-                write.fut.set_result(row)
+                write.future.set_result(row)
             else:
                 rest.append(write)
-        # The lost try may still arrive.  Sending again is safe: only one of the
-        # two can meet the condition.
+        # The lost attempt may still arrive.  Sending again is safe: only one of the two
+        # can meet the condition.
         return self._pause(rest, exc)
 
     def _pause(
         self, group: list[Write], exc: services_api.PlatformError
     ) -> list[Write]:
-        """Fail the writes that are out of time; give the others after a pause."""
+        """Fail the writes whose deadline is near; return the others after a pause."""
         now = self._clock.now()
         resume_at = min(max(exc.retry_at, now + 0.01), now + MAX_PAUSE_S)
         rest = []
@@ -156,16 +156,16 @@
             if write.deadline > resume_at:
                 rest.append(write)
             elif write.sent:
-                write.fut.set_exception(services_api.AnswerLost(str(exc)))
+                write.future.set_exception(services_api.AnswerLost(str(exc)))
             else:
-                write.fut.set_exception(exc)
+                write.future.set_exception(exc)
         if rest:
             clock.sleep_until(resume_at, self._clock)
         return rest
 
 
 def _is_ours(write: Write, row: services_api.Row) -> bool:
-    """Whether a row holds what the write wrote."""
+    """Whether a row was written by this write."""
     if row.value is None or write.op.value is None:
         return False
     txid = write.op.value.get("txid")
--- a/gaprock/test/rowcase.py
+++ b/gaprock/test/rowcase.py
@@ -1,4 +1,4 @@
-"""A follower of one table before a stand-in of the store, and the rows it hands on."""
+"""A follower of one table of a fake store, and a sink that records its rows."""
 
 import typing
 
@@ -7,31 +7,31 @@
 from gaprock.test.fakes import metastore
 
 TABLE: typing.Final = "t"
-# Within which a change has to be in force, seconds.
+# Time by which a change must take effect.
 BOUND_S: typing.Final = 2.0
 
 
 class RecordingSink:
-    """A sink that keeps what it was given."""
+    """A sink that records the rows it is given."""
 
     def __init__(self) -> None:
         self.rows: dict[str, gateway_api.Row] = {}
-        # The keys of all rows, in the order in which they came.
+        # The keys of all rows, in the order in which they arrived.
         self.order: list[str] = []
 
     @property
     def keys(self) -> set[str]:
-        """The keys of the table as it is told."""
+        """The keys of the table."""
         return set(self.rows)
 
     @property
     def values(self) -> dict[str, bytes | None]:
-        """The values of the table as it is told."""
+        """The values of the table, by key."""
         return {key: row.value for key, row in self.rows.items()}
 
     @property
     def versions(self) -> dict[str, int]:
-        """The versions of the rows of the table as it is told."""
+        """The versions of the rows of the table, by key."""
         return {key: row.version for key, row in self.rows.items()}
 
     def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
@@ -46,24 +46,24 @@
 
 
 def fresh(clock_: clock.Clock) -> freshness.Freshness:
-    """Make the freshness of a table whose follower proves for itself."""
+    """Build the freshness of a table whose follower checks the store itself."""
     return freshness.Freshness(clock_, freshness.StoreClock(), lambda: BOUND_S)
 
 
 class FollowedStore:
-    """A store with one row, ``a``, and a follower of it; use it as a context.
+    """A store with one row, ``a``, and a follower of it, as a context manager.
 
-    :param port: where the store is reached, if not at its own port.
+    :param port: the port at which to reach the store, if it is not the store's own.
     """
 
     def __init__(
         self,
         store: metastore.MetaStoreFake | None = None,
-        rests: typing.Callable[[], bool] = lambda: False,
+        may_stand_by: typing.Callable[[], bool] = lambda: False,
         kind: type[freshness.Freshness] = freshness.Freshness,
         sink: RecordingSink | None = None,
         port: int = 0,
-        is_left: typing.Callable[[], bool] = lambda: False,
+        peers_retry: typing.Callable[[], bool] = lambda: False,
     ) -> None:
         self.store = store or metastore.MetaStoreFake()
         self.kept = sink or RecordingSink()
@@ -75,8 +75,8 @@
             steady,
             self.kept,
             self.fresh,
-            may_rest=rests,
-            is_left=is_left,
+            may_stand_by=may_stand_by,
+            peers_retry=peers_retry,
         )
 
     def __enter__(self) -> "FollowedStore":
--- a/gaprock/test/testepochs.py
+++ b/gaprock/test/testepochs.py
@@ -1,8 +1,8 @@
-"""Followers of a store that is restored from a backup, under chance and one by one.
+"""Followers of a store that is restored from a backup: property tests and examples.
 
-A store, gateways' followers of one table and the messages between them are moved step
-by step.  Answers, beats and copies may be lost, come late and overtake each other;
-gateways start anew, and the store comes back from an older copy of itself.
+A state machine steps a store, several gateways' followers of one table and the messages
+between them.  Answers, heartbeats and copies may be lost, delayed or reordered;
+gateways restart, and the store is restored from an older copy of itself.
 """
 
 import typing
@@ -25,7 +25,7 @@
 from gaprock.test import gatewaysite, rowcase
 from gaprock.test.fakes import httpfake, metastore
 
-# The store's clock is this far behind ours, seconds.
+# How far the store's clock is behind ours.
 BEHIND_S: typing.Final = 70.0
 KEYS: typing.Final = ("a", "b")
 COUNT: typing.Final = 3
@@ -41,7 +41,7 @@
 
 
 class ModelStore(gateway_api.SharedStore):
-    """A store that answers at once; what becomes of an answer is the machine's."""
+    """A store that answers at once; the state machine delays or drops the answers."""
 
     __slots__ = ("_clock", "_serial", "epoch", "version", "history", "shown", "times")
 
@@ -50,16 +50,16 @@
         self._serial = 0
         self.epoch = self.version = 0
         self.history: list[Change] = []
-        # The values that the table has had, one state after the other, and since when.
+        # The successive states of the table, as values by key, and when each began.
         self.shown: list[dict[str, bytes]] = [{}]
         self.times = [self.now()]
 
     def now(self) -> float:
-        """The store's clock."""
+        """Return the time by the store's clock."""
         return self._clock.now() - BEHIND_S
 
     def rows(self) -> dict[str, gateway_api.Row]:
-        """The table now."""
+        """Return the present rows of the table."""
         found: dict[str, gateway_api.Row] = {}
         for version, key, value in self.history:
             found.pop(key, None)
@@ -68,7 +68,7 @@
         return found
 
     def change(self, key: str, is_there: bool) -> None:
-        """Write or remove a row; each value is written once."""
+        """Write or remove a row; no value is written twice."""
         self.version += 1
         self._serial += 1
         value = str(self._serial).encode() if is_there else None
@@ -76,7 +76,7 @@
         self._show()
 
     def restore(self, back: int) -> None:
-        """Come back from a copy that lacks the latest versions."""
+        """Restore a copy that lacks the latest versions."""
         self.epoch += 1
         self.version = max(0, self.version - back)
         self.history = [one for one in self.history if one.version <= self.version]
@@ -101,7 +101,7 @@
 
 
 class Member:
-    """One gateway's side."""
+    """One gateway."""
 
     def __init__(self, store: ModelStore, clock_: clock.Clock) -> None:
         self.store = store
@@ -114,15 +114,15 @@
             "t", store, clock_, self.told, self.fresh, epochs=self.epochs
         )
         self.exchange = row_exchange.RowExchange([self.follower], clock_, self.epochs)
-        # Answers of the store, beats and copies that are under way to it.
+        # Answers of the store, heartbeats and copies that are in transit to it.
         self.answers: list[gateway_api.Page] = []
         self.beats: list[mesh_messages.TableNews] = []
         self.copies: list[mesh_messages.Rows] = []
-        # The state of the store that it showed last.
+        # Index of the state of the store that its rows matched last.
         self.shown = 0
 
     def ask(self) -> None:
-        """Make the next call, as the follower's thread does."""
+        """Make the next call as the follower's thread would."""
         follower = self.follower
         self.epochs.record(self.store.epoch, "store")
         if follower.version < 0 or follower._is_outdated:
@@ -134,17 +134,17 @@
             follower._read()
 
     def take_answer(self, page: gateway_api.Page) -> None:
-        """Read the answer of a poll, which may be of an earlier epoch."""
+        """Apply the answer to a poll, which may belong to an earlier epoch."""
         self.epochs.record(page.epoch, "store")
         try:
-            self.follower._take_answer(page, None)
+            self.follower._apply_answer(page, None)
         except (gateway_api.HistoryGone, gateway_api.StoreError):
-            # The next call reads the table whole.
+            # The next call reads the whole table.
             return
 
 
 class Restoring(stateful.RuleBasedStateMachine):
-    """The machine."""
+    """The state machine."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -153,12 +153,12 @@
         self.members = [Member(self.store, self.clock) for _ in range(COUNT)]
 
     def teardown(self) -> None:
-        """A member that asks at the end knows all."""
+        """A member that asks the store at the end has its present state."""
         for member in self.members:
             member.ask()
             assert member.told.values == self.store.shown[-1]
 
-    # -- The world --
+    # -- The store, time and restarts --
 
     @stateful.rule(key=st.sampled_from(KEYS), is_there=st.booleans())
     def change(self, key: str, is_there: bool) -> None:
@@ -169,7 +169,7 @@
         back=st.integers(0, 4), since=st.lists(st.sampled_from(KEYS), max_size=5)
     )
     def restore(self, back: int, since: list[str]) -> None:
-        """The store is restored, and rows are written before anybody calls."""
+        """Restore the store, and write rows before any gateway calls."""
         self.store.restore(back)
         self.clock.advance(0.1)
         for key in since:
@@ -181,7 +181,7 @@
 
     @stateful.rule(which=MEMBERS)
     def start_anew(self, which: int) -> None:
-        """A gateway is another process now, and has read the table."""
+        """Restart a gateway, which then reads the table."""
         self.members[which] = Member(self.store, self.clock)
         self.members[which].ask()
 
@@ -193,7 +193,7 @@
 
     @stateful.rule(which=MEMBERS)
     def poll_is_answered(self, which: int) -> None:
-        """The store answers a poll; the answer is under way."""
+        """Have the store answer a poll; the answer is in transit."""
         member = self.members[which]
         since = member.follower.version
         if 0 <= since <= self.store.version:
@@ -213,7 +213,7 @@
 
     @stateful.rule(which=MEMBERS, peer=MEMBERS, last=st.booleans())
     def beat_comes(self, which: int, peer: int, last: bool) -> None:
-        """A beat comes, and a copy is asked for where that helps."""
+        """Deliver a heartbeat, and request a copy if it would help."""
         member, other = self.members[which], self.members[peer]
         if not member.beats:
             return
@@ -223,8 +223,8 @@
             member.copies.append(other.exchange.copy(0, since, epoch))
 
     @stateful.rule(which=MEMBERS, peer=MEMBERS)
-    def told_at_once(self, which: int, peer: int) -> None:
-        """Two beats come without delay, and the copy that they bring about."""
+    def beats_at_once(self, which: int, peer: int) -> None:
+        """Deliver two heartbeats without delay, and the copy that they trigger."""
         for _ in range(2):
             self.beat(peer, which)
             self.beat_comes(which, peer, last=True)
@@ -237,24 +237,24 @@
         if member.copies:
             member.exchange.apply_copy(member.copies.pop(0))
 
-    # -- What holds --
+    # -- Invariants --
 
     @stateful.invariant()
-    def a_proof_is_true(self) -> None:
-        """What is proved for a moment shows the store of that moment or a later one."""
+    def verified_rows_are_true(self) -> None:
+        """Rows verified for a moment match the store at that moment or later."""
         for member in self.members:
-            stamp = member.fresh.stamp
-            if not stamp:
+            store_time = member.fresh.verified_store_time
+            if not store_time:
                 continue
-            known = sum(at <= stamp for at in self.store.times) - 1
-            # Changes at the very moment of the proof may be on either side of it.
-            while known > 0 and self.store.times[known] == stamp:
+            known = sum(at <= store_time for at in self.store.times) - 1
+            # Changes at exactly the verified moment may be included or not.
+            while known > 0 and self.store.times[known] == store_time:
                 known -= 1
             assert member.told.values in self.store.shown[known:]
 
     @stateful.invariant()
-    def nothing_goes_back(self) -> None:
-        """Each member shows states of the store in their order."""
+    def rows_never_go_back(self) -> None:
+        """Each member passes through the states of the store in their order."""
         for member in self.members:
             later = self.store.shown[member.shown :]
             if not member.told.values and not member.shown:
@@ -270,11 +270,11 @@
 )
 
 
-# -- One by one --
+# -- Examples --
 
 
-class Lone(Member):
-    """A member without peers, before a store of its own."""
+class LoneMember(Member):
+    """A member without peers that has a store of its own."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock(100.0)
@@ -283,32 +283,32 @@
         self.ask()
 
 
-def test_a_proof_of_another_epoch_proves_nothing() -> None:
-    one = Lone()
+def test_a_verification_of_another_epoch_is_ignored() -> None:
+    one = LoneMember()
     verified_at = one.fresh.verified_at
     one.time.advance(1.0)
     news = one.follower.news()
     other = mesh_messages.TableNews(
         news.changed, news.digest, one.store.now(), news.epoch + 1
     )
-    one.follower.prove(other)
+    one.follower.record_verification(other)
     assert one.fresh.verified_at == verified_at
 
 
 def test_an_answer_of_an_earlier_epoch_is_dropped() -> None:
-    one = Lone()
+    one = LoneMember()
     late = one.store.read("t")
     one.store.restore(0)
     one.store.change("a", True)
     one.ask()
     told = dict(one.told.values)
     with pytest.raises(gateway_api.StoreError):
-        one.follower._take_answer(late, None)
+        one.follower._apply_answer(late, None)
     assert one.told.values == told
 
 
 def test_a_peer_of_an_earlier_epoch_gets_the_whole_table() -> None:
-    one = Lone()
+    one = LoneMember()
     for _ in range(3):
         one.store.change("b", True)
     one.ask()
@@ -328,19 +328,19 @@
         )
         gatewaysite.wait_until(lambda: rowcase.TABLE in store.waiting, "a poll waits")
         exchange = row_exchange.RowExchange(
-            [Lone().follower, follower], follower._clock, follower._epochs
+            [LoneMember().follower, follower], follower._clock, follower._epochs
         )
-        # No call of ours is due: only the word of a peer can bring the reading about.
+        # No call of ours is due, so only the report of a peer can cause the read.
         one.fresh.verified_at = clock.NEVER
         store.is_silent_on_restore = True
         store.restore(3)
         store.put(rowcase.TABLE, "b", 1)
         exchange.record_news(0, mesh_messages.TableNews(4, 0, 0.0, store.epoch))
-        gatewaysite.wait_until(lambda: "b" in one.kept.keys, "it is read anew")
+        gatewaysite.wait_until(lambda: "b" in one.kept.keys, "it is read again")
 
 
-class Forgetful(ModelStore):
-    """Answers readings, and knows no changes."""
+class WithoutHistory(ModelStore):
+    """A store that answers reads but has no history of changes."""
 
     __slots__ = ()
 
@@ -348,12 +348,12 @@
         raise gateway_api.HistoryGone
 
 
-class Pausing(followers.Follower):
-    """Notes its pauses, and ends after some."""
+class PauseRecorder(followers.Follower):
+    """A follower that records its pauses, and stops after six."""
 
     pauses: list[float]
 
-    def _rest_from_store(self, pause_s: float, retry_s: float = 0.0) -> None:
+    def _wait_before_retry(self, pause_s: float, retry_s: float = 0.0) -> None:
         self.pauses.append(pause_s)
         if len(self.pauses) == 6:
             self.stop()
@@ -362,9 +362,9 @@
 def test_a_store_that_answers_410_for_long_is_asked_with_pauses() -> None:
     time = clock.ManualClock(100.0)
     fresh = freshness.Freshness(time, freshness.StoreClock(), lambda: 0.0)
-    one = Pausing("t", Forgetful(time), time, rowcase.RecordingSink(), fresh)
+    one = PauseRecorder("t", WithoutHistory(time), time, rowcase.RecordingSink(), fresh)
     one.pauses = []
-    # Each proof is too old at once, so that changes are asked for.
+    # Each verification is stale at once, so changes are requested.
     one.disconnected_at = 1.0
     one._run()
     assert one.pauses[0] == followers.FIRST_PAUSE_S
@@ -372,11 +372,11 @@
     assert one.pauses == sorted(one.pauses)
 
 
-# -- What the adapter reads --
+# -- How the adapter reads epochs --
 
 
 class Client:
-    """The adapter before a stand-in of the store, and the epochs that it tells."""
+    """The adapter with a fake store, and the epochs that it reports."""
 
     def __init__(self) -> None:
         self.fake = metastore.MetaStoreFake()
--- a/gaprock/test/testfollowing.py
+++ b/gaprock/test/testfollowing.py
@@ -171,7 +171,7 @@
     def poll_is_read(self, which: int) -> None:
         member = self.members[which]
         if member.answers:
-            member.follower._take_answer(member.answers.pop(0), None)
+            member.follower._apply_answer(member.answers.pop(0), None)
 
     @stateful.rule(which=MEMBERS, back=st.integers(1, 3), is_there=st.booleans())
     def answer_is_overtaken(self, which: int, back: int, is_there: bool) -> None:
@@ -218,7 +218,7 @@
     def a_proof_is_true(self) -> None:
         """What is proved for a moment shows the store of that moment or a later one."""
         for member in self.members:
-            stamp = member.fresh.stamp
+            stamp = member.fresh.verified_store_time
             if not stamp:
                 continue
             known = sum(at <= stamp for at in self.store.times) - 1
--- a/gaprock/test/testfreshness.py
+++ b/gaprock/test/testfreshness.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the store is proved anew again and again."""
+"""Rows that a gateway knows are verified again and again, so changes are not missed."""
 
 import time
 import typing
@@ -25,12 +25,12 @@
     change: typing.Callable[[], object],
     is_taken: typing.Callable[[], bool],
 ) -> None:
-    """Have a table's poll answered by a change, and the next one swallowed."""
+    """Have a change answer a table's poll, and the store never answer the next one."""
     gatewaysite.wait_until(lambda: table in store.waiting, "a poll waits")
     store.faults["swallow"] = True
     change()
     gatewaysite.wait_until(is_taken, "the poll is answered")
-    gatewaysite.wait_until(lambda: table in store.swallowed, "the next is swallowed")
+    gatewaysite.wait_until(lambda: table in store.swallowed, "the next poll is lost")
     del store.faults["swallow"]
 
 
@@ -47,7 +47,7 @@
 
         swallow_next_poll(one.store, "op", lambda: put(2), lambda: in_force() == 2)
         put(3)
-        gatewaysite.wait_until(lambda: in_force() == 3, "the change is in force")
+        gatewaysite.wait_until(lambda: in_force() == 3, "the change is in effect")
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
@@ -75,13 +75,13 @@
         gatewaysite.wait_until(lambda: one.known("app") == {"e1"}, "it has left")
 
 
-# -- Proofs --
+# -- Verification --
 
 
-class FreshCase:
-    """One table's freshness by a clock that is moved by hand; the store's is 50 behind.
+class FreshnessCase:
+    """Freshness of one table with a manual clock; the store's clock is 50 s behind.
 
-    :param leads: whether it proves for the others.
+    :param leads: whether the gateway checks on behalf of the others.
     """
 
     def __init__(self, leads: bool) -> None:
@@ -89,44 +89,45 @@
         self.fresh = freshness.Freshness(
             self.time, freshness.StoreClock(), lambda: rowcase.BOUND_S, lambda: leads
         )
-        self.fresh.prove_by_answer(100.0, asked_at=self.time.now())
+        self.fresh.record_answer(100.0, asked_at=self.time.now())
 
 
 def test_the_first_gateway_asks_well_before_a_change_has_to_be_in_force() -> None:
-    case = FreshCase(leads=True)
+    case = FreshnessCase(leads=True)
     assert not case.fresh.is_check_due
-    case.time.advance(freshness.LEAD_SHARE * rowcase.BOUND_S)
+    case.time.advance(freshness.LEADER_CHECK_SHARE * rowcase.BOUND_S)
     assert case.fresh.is_check_due
     assert not case.fresh.is_stale
 
 
-def test_the_others_ask_when_no_proof_reaches_them_and_before_they_are_stale() -> None:
-    case = FreshCase(leads=False)
+def test_the_others_ask_before_stale_when_no_verification_reaches_them() -> None:
+    case = FreshnessCase(leads=False)
     for _ in range(20):
-        case.time.advance(freshness.LEAD_SHARE * rowcase.BOUND_S)
+        case.time.advance(freshness.LEADER_CHECK_SHARE * rowcase.BOUND_S)
         assert not case.fresh.is_check_due
-        # The first gateway's proof comes, some of the time old.
-        case.fresh.prove(case.time.now() - 50.0 - 0.1)
-    case.time.advance(freshness.OTHER_SHARES[1] * rowcase.BOUND_S)
+        # The first gateway's verification arrives, 0.1 s old.
+        case.fresh.record_verification(case.time.now() - 50.0 - 0.1)
+    case.time.advance(freshness.OTHERS_CHECK_SHARES[1] * rowcase.BOUND_S)
     assert case.fresh.is_check_due
     assert not case.fresh.is_stale
     case.time.advance(rowcase.BOUND_S)
     assert case.fresh.is_stale
 
 
-def test_a_proof_keeps_its_age_however_long_it_was_under_way() -> None:
-    case = FreshCase(leads=False)
+def test_a_verification_keeps_its_age_however_long_it_is_in_transit() -> None:
+    case = FreshnessCase(leads=False)
     case.time.advance(rowcase.BOUND_S)
-    case.fresh.prove(100.5)
+    case.fresh.record_verification(100.5)
     assert case.fresh.verified_at == 150.5
-    case.fresh.prove(100.2)
+    case.fresh.record_verification(100.2)
     assert case.fresh.verified_at == 150.5
-    # A store that counts anew has stamps that mean nothing by the old offset.
-    case.fresh.prove(5000.0)
+    # After the store's clock has started again, its times mean nothing by the old
+    # offset.
+    case.fresh.record_verification(5000.0)
     assert case.fresh.verified_at == 150.5
 
 
-def test_a_peers_proof_counts_for_the_same_rows_alone() -> None:
+def test_a_peers_verification_counts_only_for_the_same_rows() -> None:
     time = clock.ManualClock(150.0)
     store_clock = freshness.StoreClock()
     store_clock.record(100.0, 150.0, 150.0)
@@ -137,24 +138,28 @@
     row = gateway_api.Row("a", b"1", 7)
     one.apply_copy(gateway_api.Page([row], 7, 0.0))
     for other in ({}, {"a": row._replace(version=6)}, {"a": row, "b": row}):
-        one.prove(mesh_messages.TableNews(7, followers.digest(other), 100.0))
+        one.record_verification(
+            mesh_messages.TableNews(7, followers.digest(other), 100.0)
+        )
     assert fresh.verified_at == 0.0
-    one.prove(mesh_messages.TableNews(7, followers.digest({"a": row}), 100.0))
+    one.record_verification(
+        mesh_messages.TableNews(7, followers.digest({"a": row}), 100.0)
+    )
     assert fresh.verified_at == 150.0
 
 
-class ByHurryAlone(freshness.Freshness):
-    """Has a proof due only where a change was told of."""
+class ChecksOnlyWhenAnnounced(freshness.Freshness):
+    """Has a check due only after a change was announced."""
 
     __slots__ = ()
 
     @property
     def is_check_due(self) -> bool:
-        return self._clock.now() >= self._hurry_at
+        return self._clock.now() >= self._check_by
 
 
 def swallow_table_poll(case: rowcase.FollowedStore) -> None:
-    """Have a followed table's poll answered, and the next one swallowed."""
+    """Have a change answer the follower's poll, and the store swallow the next one."""
     swallow_next_poll(
         case.store,
         "t",
@@ -163,8 +168,8 @@
     )
 
 
-def test_a_poll_that_a_peers_copy_went_before_is_asked_about_and_left() -> None:
-    with rowcase.FollowedStore(kind=ByHurryAlone) as case:
+def test_a_poll_that_misses_a_change_in_a_peers_copy_is_abandoned() -> None:
+    with rowcase.FollowedStore(kind=ChecksOnlyWhenAnnounced) as case:
         swallow_table_poll(case)
         version = case.store.put("t", "c", 1)
         rows = [gateway_api.Row(key, b"1", n) for n, key in enumerate("abc", 1)]
@@ -172,22 +177,22 @@
         calls = case.store.calls.count("/-/rows-feed")
         gatewaysite.wait_until(
             lambda: case.store.calls.count("/-/rows-feed") >= calls + 2,
-            "it asks, and polls anew",
+            "it asks, and polls again",
         )
         case.store.put("t", "d", 1)
         gatewaysite.wait_until(lambda: "d" in case.kept.keys, "the new poll tells")
 
 
-def test_a_follower_that_rests_asks_when_no_proof_reaches_it() -> None:
-    with rowcase.FollowedStore(rests=lambda: True) as case:
-        gatewaysite.wait_until(lambda: case.follower.on_standby, "it rests")
+def test_a_follower_on_standby_asks_when_no_verification_reaches_it() -> None:
+    with rowcase.FollowedStore(may_stand_by=lambda: True) as case:
+        gatewaysite.wait_until(lambda: case.follower.on_standby, "it is on standby")
         case.store.put("t", "b", 1)
         gatewaysite.wait_until(lambda: "b" in case.kept.keys, "it asked by itself")
         assert case.follower.on_standby
 
 
 class ChangingStore(metastore.MetaStoreFake):
-    """Changes a row of the first page after that page was given."""
+    """Changes a row of the first page after returning that page."""
 
     def _get(self, query: dict[str, str]) -> httpfake.Reply:
         reply = super()._get(query)
@@ -223,8 +228,8 @@
         assert one.store.faults["refuse_tx"] == 0
 
 
-class FailsOnce(rowcase.RecordingSink):
-    """A sink with a fault that one page of rows brings about."""
+class FailsOnChanges(rowcase.RecordingSink):
+    """A sink that raises an error for changed rows, but not for a whole table."""
 
     def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         if not whole:
@@ -233,13 +238,13 @@
 
 
 def test_a_follower_outlives_a_fault_of_its_sink() -> None:
-    with rowcase.FollowedStore(sink=FailsOnce()) as case:
+    with rowcase.FollowedStore(sink=FailsOnChanges()) as case:
         gatewaysite.wait_until(lambda: case.kept.keys == {"a"}, "it is read")
         case.store.put("t", "b", 1)
-        gatewaysite.wait_until(lambda: "b" in case.kept.keys, "it is read anew")
+        gatewaysite.wait_until(lambda: "b" in case.kept.keys, "it is read again")
 
 
-def test_an_answer_that_is_none_is_as_good_as_lost() -> None:
+def test_a_malformed_answer_counts_as_lost() -> None:
     with rowcase.FollowedStore() as case:
         gatewaysite.wait_until(lambda: case.kept.keys == {"a"}, "it is read")
         case.store.faults["odd"] = True
@@ -251,14 +256,15 @@
 
 def test_a_store_that_is_away_is_left_to_others_for_as_long_as_they_try() -> None:
     are_others_there = [True]
-    with rowcase.FollowedStore(is_left=lambda: are_others_there[0]) as case:
+    with rowcase.FollowedStore(peers_retry=lambda: are_others_there[0]) as case:
         gatewaysite.wait_until(lambda: case.kept.keys == {"a"}, "it is read")
         case.store.faults["refuse"] = 503
         case.store.put("t", "b", 1)
         gatewaysite.wait_until(lambda: not case.follower.connected, "it is lost")
         calls = len(case.store.calls)
-        # Within half of the long pause nobody is asked, but at once when we are alone.
-        time.sleep(0.2 * followers.LEFT_PAUSE_S)
+        # Within half of the long pause the store is not called, but it is called at
+        # once when no peers are left.
+        time.sleep(0.2 * followers.PEERS_RETRY_PAUSE_S)
         assert len(case.store.calls) == calls
         are_others_there[0] = False
         gatewaysite.wait_until(lambda: len(case.store.calls) > calls + 1, "it tries")
--- a/gaprock/test/testoddrows.py
+++ b/gaprock/test/testoddrows.py
@@ -1,4 +1,4 @@
-"""Rows of other writers: whatever one row holds, the others hold."""
+"""Whatever a row of another writer contains, all other rows keep their effect."""
 
 import typing
 
@@ -34,7 +34,7 @@
 PEER: typing.Final = {"address": "tcp://10.0.0.1:7", "hall": "h1"}
 START: typing.Final = {"revision": 3, "started": 100.0}
 DEEP: typing.Final = b'{"Service": ' + b"[" * 200_000
-ODD_BYTES: typing.Final = [
+INVALID_BYTES: typing.Final = [
     b"",
     b"\xff\xfe",
     b'{"Service": "\xff"}',
@@ -48,7 +48,7 @@
 
 
 class Tables:
-    """The sinks of all followed tables, as one gateway has them."""
+    """The sinks of all tables that a gateway follows."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock(100.0)
@@ -63,12 +63,12 @@
         )
 
     def usable(self) -> set[str]:
-        """Give the endpoints that stay in use."""
+        """Return the usable endpoints that are not leaving."""
         found = self.directory.usable("app", set())
         return {e.name for e in found if e.leave_at == clock.NEVER}
 
     def state(self) -> tuple[object, ...]:
-        """Give all that the rows are to tell."""
+        """Return everything that the rows determine."""
         rolls = self.case.book.all()
         return (
             self.usable(),
@@ -78,7 +78,7 @@
 
 
 def page(*rows: tuple[str, object]) -> gateway_api.Page:
-    """Write a page; a row's value is a document or bytes."""
+    """Build a page; the value of a row is a document or bytes."""
     found = [
         gateway_api.Row(
             key,
@@ -90,18 +90,18 @@
     return gateway_api.Page(found, len(found), 0.0)
 
 
-def lacking(doc: dict[str, typing.Any]) -> list[dict[str, typing.Any]]:
-    """Give a document without each of its fields, and with each of another type."""
+def damaged_documents(doc: dict[str, typing.Any]) -> list[dict[str, typing.Any]]:
+    """Return a document without each field in turn, and with wrong types in each."""
     without = [{k: v for k, v in doc.items() if k != name} for name in doc]
     wrong: list[typing.Any] = [None, [], {"a": 1}, True]
     others = [{**doc, name: invalid} for name in doc for invalid in wrong]
     return without + others
 
 
-ODD_ENDPOINTS: typing.Final[list[object]] = [
-    *ODD_BYTES,
-    # Not all endpoints say when they started.
-    *[doc for doc in lacking(ENDPOINT) if "born" in doc],
+INVALID_ENDPOINTS: typing.Final[list[object]] = [
+    *INVALID_BYTES,
+    # Not all endpoints report when they started.
+    *[doc for doc in damaged_documents(ENDPOINT) if "born" in doc],
     *(
         {**ENDPOINT, name: invalid}
         for name, invalid in [
@@ -134,9 +134,9 @@
 
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize(
-    "invalid", ODD_ENDPOINTS, ids=lambda invalid: str(invalid)[:40]
+    "invalid", INVALID_ENDPOINTS, ids=lambda invalid: str(invalid)[:40]
 )
-def test_an_odd_row_names_no_endpoint_and_the_others_hold(
+def test_an_invalid_row_names_no_endpoint_and_the_others_stay(
     invalid: object, whole: bool
 ) -> None:
     tables = Tables()
@@ -148,7 +148,7 @@
     )
     assert tables.usable() == {"a", "c"}
     assert tables.endpoints.invalid.count == 1
-    # Its writer puts it right with its next heartbeat.
+    # Its writer corrects the row with its next heartbeat.
     tables.endpoints.apply_page(page(("b", ENDPOINT)), whole=False)
     assert tables.usable() == {"a", "b", "c"}
 
@@ -160,9 +160,9 @@
     assert tables.usable() == {"a"}
 
 
-ODD_ORDERS: typing.Final[list[object]] = [
-    *ODD_BYTES,
-    *lacking(ORDER),
+INVALID_ORDERS: typing.Final[list[object]] = [
+    *INVALID_BYTES,
+    *damaged_documents(ORDER),
     {**ORDER, "FinishByS": 0},
     {**ORDER, "FinishByS": -5},
     {**ORDER, "FinishByS": 1e300},
@@ -170,8 +170,10 @@
 ]
 
 
-@pytest.mark.parametrize("invalid", ODD_ORDERS, ids=lambda invalid: str(invalid)[:40])
-def test_an_odd_order_changes_nothing(invalid: object) -> None:
+@pytest.mark.parametrize(
+    "invalid", INVALID_ORDERS, ids=lambda invalid: str(invalid)[:40]
+)
+def test_an_invalid_order_changes_nothing(invalid: object) -> None:
     tables = Tables()
     rows = [("config", gatewaysite.config(4)), ("rollout/app", ORDER)]
     tables.orders.apply_page(page(*rows), whole=True)
@@ -183,16 +185,18 @@
     assert tables.orders.invalid.count == 2
 
 
-ODD_OUTCOMES: typing.Final[list[object]] = [
-    *ODD_BYTES,
-    *lacking(OUTCOME),
+INVALID_OUTCOMES: typing.Final[list[object]] = [
+    *INVALID_BYTES,
+    *damaged_documents(OUTCOME),
     {**OUTCOME, "State": "halfway"},
     {**OUTCOME, "State": ""},
 ]
 
 
-@pytest.mark.parametrize("invalid", ODD_OUTCOMES, ids=lambda invalid: str(invalid)[:40])
-def test_an_odd_outcome_changes_nothing(invalid: object) -> None:
+@pytest.mark.parametrize(
+    "invalid", INVALID_OUTCOMES, ids=lambda invalid: str(invalid)[:40]
+)
+def test_an_invalid_outcome_changes_nothing(invalid: object) -> None:
     tables = Tables()
     tables.orders.apply_page(page(("rollout/app", ORDER)), whole=True)
     before = tables.state()
@@ -204,7 +208,7 @@
 @pytest.mark.parametrize(
     "invalid",
     [
-        *ODD_BYTES,
+        *INVALID_BYTES,
         *(
             {**PEER, "address": invalid}
             for invalid in (7, "", "ipc:///x", "tcp://a/b:1")
@@ -213,7 +217,7 @@
     ],
     ids=lambda invalid: str(invalid)[:40],
 )
-def test_an_odd_peer_is_not_looked_for(invalid: object) -> None:
+def test_an_invalid_peer_row_is_ignored(invalid: object) -> None:
     time = clock.ManualClock(100.0)
     rows = page(("peer/a", invalid), ("peer/b", PEER), ("rollout/app", invalid))
     own = gateway_rows.OwnRows(time, rows, freshness.StoreClock())
@@ -221,7 +225,7 @@
 
 
 @pytest.mark.parametrize("change", [{"started": -1e300}, {"started": "now"}, {}])
-def test_an_odd_start_dates_nothing(change: dict[str, typing.Any]) -> None:
+def test_an_invalid_start_is_ignored(change: dict[str, typing.Any]) -> None:
     time = clock.ManualClock(100.0)
     known = freshness.StoreClock()
     known.record(0.0, 0.0, 0.0)
@@ -230,7 +234,7 @@
     assert own.starts == ({} if change else {("app", 3): 100.0})
 
 
-def test_a_row_that_stays_odd_is_logged_now_and_then() -> None:
+def test_a_row_that_stays_invalid_is_logged_at_intervals() -> None:
     time = clock.ManualClock(100.0)
     invalid = invalid_rows.InvalidRows("t", time)
     row = gateway_api.Row("a", b"x", 1)
@@ -243,9 +247,9 @@
         time.advance(1.0)
     assert invalid.count == 40
     assert len(logged) == 40 // invalid_rows.LOG_EVERY_S
-    for number in range(2 * invalid_rows.MAX_KNOWN):
+    for number in range(2 * invalid_rows.MAX_LOGGED_KEYS):
         invalid.record(row._replace(key=f"k{number}"), ValueError("odd"))
-    assert len(invalid._logged) == invalid_rows.MAX_KNOWN
+    assert len(invalid._logged) == invalid_rows.MAX_LOGGED_KEYS
 
 
 JSON: typing.Final = st.recursive(
--- a/gaprock/test/testrestored.py
+++ b/gaprock/test/testrestored.py
@@ -1,4 +1,4 @@
-"""A store that is restored from a backup: versions go back and are given out again."""
+"""A store that is restored from a backup: versions go back and are assigned again."""
 
 import contextlib
 import typing
@@ -8,20 +8,20 @@
 from gaprock import gateway_node
 from gaprock.test import gatewayfleet, gatewaysite
 
-# Whether the versions have passed the known ones before the gateway's next call.
+# Whether the store's version has passed the known one by the gateway's next call.
 PASSED = pytest.mark.parametrize("passed", [True, False])
 
 
 class RestoredSite(gatewaysite.GatewaySite):
-    """A gateway whose store loses its latest writes while it is away."""
+    """A gateway whose store loses its latest writes during an outage."""
 
-    def lose(
+    def lose_writes(
         self, lost: typing.Callable[[], object], since: typing.Callable[[], object]
     ) -> None:
-        """Have the store lose writes.
+        """Have the store lose writes in a restore.
 
-        :param lost: makes the writes that it loses.
-        :param since: makes the writes after its restore, before it answers again.
+        :param lost: makes the writes that are lost.
+        :param since: makes the writes after the restore, before the store answers.
         """
         version = self.store.version
         lost()
@@ -39,14 +39,14 @@
         del self.store.faults["refuse"]
 
     def newest(self, table: str) -> int:
-        """Give the version of a table's newest change."""
+        """Return the version of a table's newest change."""
         return max((h[2] for h in self.store._history if h[0][0] == table), default=0)
 
     def put_config(self, number: int) -> None:
         self.store.put("op", "config", gatewaysite.config(number))
 
-    def let_pass(self, passed: bool) -> None:
-        """Write elsewhere until all versions that were known are behind."""
+    def advance_past_known(self, passed: bool) -> None:
+        """Write other rows until the store has passed all versions that were known."""
         while passed and self.store.version < 60:
             self.store.put("status", "other", 1)
 
@@ -62,10 +62,10 @@
 
         def since() -> None:
             one.put_config(31)
-            one.let_pass(passed)
+            one.advance_past_known(passed)
 
-        one.lose(lost, since)
-        gatewaysite.wait_until(lambda: one.in_force == 31, "the change is in force")
+        one.lose_writes(lost, since)
+        gatewaysite.wait_until(lambda: one.in_force == 31, "the change is in effect")
 
 
 @PASSED
@@ -86,9 +86,9 @@
                 one.store.remove("servers", "e2")
             else:
                 one.write_row("e2", "app", State="draining")
-            one.let_pass(passed)
+            one.advance_past_known(passed)
 
-        one.lose(lost, since)
+        one.lose_writes(lost, since)
         gatewaysite.wait_until(lambda: one.known("app") == {"e1"}, "it has left")
 
 
@@ -108,7 +108,7 @@
 
 
 class Pair(gatewayfleet.Fleet):
-    """Two gateways without endpoints; the second one starts after a restore."""
+    """Two gateways without endpoints; the second is started after a restore."""
 
     def start_endpoints(self, stack: contextlib.ExitStack) -> int:
         return 0
@@ -125,7 +125,7 @@
 
 
 def in_force(gateway: gateway_node.Gateway) -> int:
-    """Give the number of the configuration in force at a gateway."""
+    """Return the number of the configuration in effect at a gateway."""
     return gateway.orders.config_number
 
 
@@ -138,10 +138,10 @@
         )
         version = store.version
         store.put("op", "config", gatewaysite.config(2))
-        gatewaysite.wait_until(lambda: in_force(first) == 2, "it is in force")
+        gatewaysite.wait_until(lambda: in_force(first) == 2, "it is in effect")
         store.restore(version)
         pair.start_second()
-        gatewaysite.wait_until(lambda: in_force(second) == 2, "it is told")
+        gatewaysite.wait_until(lambda: in_force(second) == 2, "a peer has sent it")
         store.put("op", "config", gatewaysite.config(3))
         for one in (first, second):
             gatewaysite.wait_until(lambda: in_force(one) == 3, "the next one")
--- a/gaprock/test/testrestoredendpoints.py
+++ b/gaprock/test/testrestoredendpoints.py
@@ -1,4 +1,4 @@
-"""What an older copy of the store's rows says of endpoints that leave, or have left."""
+"""Endpoints that are leaving or gone when the store is restored from an older copy."""
 
 import typing
 
@@ -19,7 +19,7 @@
 SERVICE: typing.Final = "llm"
 DRAIN_S: typing.Final = 2.0
 LEFT = pytest.mark.parametrize("left", ["draining", "gone", "forgotten"])
-# A server's row; the rest of it never changes.
+# An endpoint's row; only its state changes.
 ROW: typing.Final = (
     b'{"Service":"llm","Addr":"10.0.0.1:1","Zone":"h1","Version":"v1","Slots":8,'
     b'"State":"%s"}'
@@ -27,7 +27,7 @@
 
 
 class Reader:
-    """A gateway's endpoints, which it reads from a store that is restored."""
+    """The endpoints of a gateway that reads a store which is restored."""
 
     def __init__(self, time: clock.ManualClock) -> None:
         self.time = time
@@ -38,12 +38,18 @@
         )
 
     def read(self, epoch: int, **states: str) -> None:
-        """Read the table whole, by the endpoints' names."""
+        """Read the whole table.
+
+        :param states: the endpoints' states, by name.
+        """
         self.epochs.record(epoch, "store")
         self._take(epoch, states, whole=True)
 
     def hear(self, epoch: int, **states: str) -> None:
-        """Take changes; an empty state is a row that was removed."""
+        """Apply changes.
+
+        :param states: the states by endpoint; an empty one is a removed row.
+        """
         self._take(epoch, states, whole=False)
 
     def _take(self, epoch: int, states: dict[str, str], whole: bool) -> None:
@@ -54,7 +60,7 @@
         self.rows.apply_page(gateway_api.Page(rows, 1, 0.0, epoch), whole)
 
     def leave(self, name: str, how: str) -> None:
-        """Have an endpoint leave, and nothing more be sent to it."""
+        """Have an endpoint leave, until nothing more is sent to it."""
         self.hear(1, **{name: "draining" if how == "draining" else ""})
         self.time.advance(DRAIN_S)
         if how == "forgotten":
@@ -85,7 +91,7 @@
     reader.leave("b", left)
     reader.read(2, a="ready", b="ready")
     assert reader.usable == {"a"}
-    # Once more, while the first copy is still doubted.
+    # A second restore within the grace period of the first.
     reader.pass_time(1.0)
     reader.read(3, a="ready", b="ready")
     reader.pass_time(store_epochs.RESTORE_GRACE_S - 1.0)
--- a/gaprock/test/testrestoredrollouts.py
+++ b/gaprock/test/testrestoredrollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts and halls over a restore of the store, which loses orders and outcomes."""
+"""Rollouts and cordoned halls when a restored store lacks orders and outcomes."""
 
 import typing
 
@@ -31,7 +31,7 @@
 
 
 class Gateway:
-    """A gateway's rollouts, which it reads from a store that is restored."""
+    """The rollouts of a gateway that reads a store which is restored."""
 
     def __init__(self, time: clock.ManualClock) -> None:
         self.time = time
@@ -46,12 +46,12 @@
         self.halls = halls
 
     def order(self, epoch: int, number: int, version: str, whole: bool = False) -> None:
-        """Read an order."""
+        """Apply an order."""
         row = gateway_api.Row(ORDER_KEY, order_value(version), number)
         self.orders.apply_page(gateway_api.Page([row], number, 0.0, epoch), whole)
 
     def outcome(self, epoch: int, number: int, state: str, version: str = "v2") -> None:
-        """Read the table of outcomes whole; an empty state is no row."""
+        """Read the whole table of outcomes; an empty state stands for no row."""
         key = wire.PlatformDialect().outcome_key(SERVICE)
         value = wire.PlatformDialect().outcome_value(version, state)
         rows = [gateway_api.Row(key, value, number)] if state else []
@@ -63,7 +63,7 @@
         return rollout
 
     def write(self) -> list[str]:
-        """Have the writer do what is due; give the states that it has written."""
+        """Have the writer write what is due; return the states that it has written."""
         self.case.store.answers = [99]
         self.writer.step()
         return self.case.written()
@@ -93,7 +93,7 @@
 def test_a_halt_counts_by_the_name_before_and_after_a_restore(one: Gateway) -> None:
     other = Gateway(one.time)
     other.order(1, 20, "v2")
-    # One has the restored store's row, the other not yet.
+    # One gateway has the restored store's row, the other does not yet.
     one.order(2, 17, "v2", whole=True)
     for here, there in ((one, other), (other, one)):
         here.rollout.halted, there.rollout.halted = False, True
@@ -152,7 +152,7 @@
     share = one.book.share(one.rollout)
     one.outcome(2, 22, copied)
     assert one.book.share(one.rollout) == share
-    # The order itself may be lost, and another one be there in its place.
+    # Nothing is written yet: the restore may have replaced the order by another.
     assert one.write() == []
     one.order(2, 20, "v2", whole=True)
     assert one.write() == [state]
@@ -204,7 +204,7 @@
     one.time.advance(store_epochs.RESTORE_GRACE_S - 0.1)
     one.orders.end_restore_grace()
     assert one.halls == {"h1"}
-    # Read whole once more in the same epoch.
+    # The whole table is read once more in the same epoch.
     one.orders.apply_page(page(2), whole=True)
     assert one.halls == {"h1"}
     one.time.advance(0.2)
@@ -223,18 +223,18 @@
     assert one.halls == frozenset()
 
 
-# -- Who writes, under chance --
+# -- Property tests of who writes --
 
 
 class RestoredStore(testtakeover.ModelStore):
-    """The store of outcomes, which is restored now and then."""
+    """A store of outcomes that can be restored."""
 
     __slots__ = ("epoch", "before")
 
     def __init__(self) -> None:
         super().__init__()
         self.epoch = 0
-        # The row and version before each write, for a copy to come back to.
+        # The row and version before each write, which a restore returns to.
         self.before: list[tuple[gateway_api.Row | None, int]] = []
 
     def write(self, write: gateway_api.Write) -> int:
@@ -245,7 +245,7 @@
         return done
 
     def restore(self) -> None:
-        """Lose the latest write, and what was not done yet."""
+        """Lose the latest write and all pending ones."""
         self.epoch += 1
         self.late.clear()
         if self.before:
@@ -253,7 +253,7 @@
 
 
 class RestoredTakeover(testtakeover.Takeover):
-    """Gateways take turns while the store loses writes that they have read."""
+    """Gateways take turns to write while the store loses writes that they have read."""
 
     store: RestoredStore
 
@@ -263,7 +263,7 @@
         self.members = [testtakeover.Member(name, self) for name in self.names]
 
     def _hear(self, which: int) -> None:
-        """Read the order and the outcome whole, as the store has them."""
+        """Read the order and the table of outcomes from the store."""
         member, store = self.members[which], self.store
         order = gateway_api.RolloutOrder(SERVICE, "v2", testtakeover.FINISH_S)
         member.rollouts.add_order(order, 1, self.started_at, store.epoch)
@@ -291,11 +291,11 @@
         self._hear(which)
 
     def killed(self, which: int) -> None:
-        """No rule here: what one that is killed knew and the store lost is gone."""
+        """Not a rule here: a lost outcome that only a killed gateway knew is gone."""
 
     @stateful.invariant()
     def a_final_outcome_stays(self) -> None:
-        """A lost outcome is written again as it was."""
+        """A lost outcome is written again unchanged."""
         assert len({s for s in self.store.history if s in FINAL}) <= 1
 
 
--- a/gaprock/test/teststoreretry.py
+++ b/gaprock/test/teststoreretry.py
@@ -1,4 +1,4 @@
-"""The shared store's word on when to call again is kept."""
+"""A follower does not call the shared store before the time that it asked for."""
 
 import time
 import typing
@@ -14,7 +14,7 @@
 
 
 class BusyStore(gateway_api.SharedStore):
-    """Turns every call away and says when to come back."""
+    """Rejects each call with the time after which to retry."""
 
     def __init__(self) -> None:
         self.calls: list[float] = []
@@ -25,7 +25,7 @@
 
 
 class Sink:
-    """Takes nothing."""
+    """Expects no page."""
 
     def apply_page(self, page: gateway_api.Page, whole: bool) -> None:
         raise AssertionError("no page was read")
--- a/misc/proofs_gateway_restores.py
+++ b/misc/proofs_gateway_restores.py
@@ -41,7 +41,7 @@
     ),
     proofs.gateway(
         "a proof of another epoch proves nothing",
-        "testepochs.py::test_a_proof_of_another_epoch_proves_nothing",
+        "testepochs.py::test_a_verification_of_another_epoch_is_ignored",
         "followers.py",
         "if news.digest == self._digest and news.epoch == self.epoch:",
         "if news.digest == self._digest:",
@@ -65,7 +65,7 @@
         "a store whose history is gone again and again is asked with pauses",
         "testepochs.py::test_a_store_that_answers_410_for_long_is_asked_with_pauses",
         "followers.py",
-        "if self._times_gone > 1:",
+        "if self._history_gone_count > 1:",
         "if False:",
     ),
     proofs.gateway(
@@ -131,7 +131,7 @@
         "testrestoredrollouts.py::test_a_hall_stays_emptied_while_a_restored_store"
         "_lacks_its_order",
         "gateway_rows.py",
-        "self._doubted = set(self._emptied)",
+        "self._tentative = set(self._cordoned)",
         "pass",
     ),
     proofs.gateway(
@@ -139,7 +139,7 @@
         "testrestored.py::test_a_gateways_own_row_is_written_again_after_a_restore"
         "_lost_it",
         "gateway_own_rows.py",
-        "            self.look()\n",
+        "            self.check_epoch()\n",
         "            pass\n",
     ),
     proofs.gateway(
--- a/misc/proofs_gateway_store.py
+++ b/misc/proofs_gateway_store.py
@@ -32,8 +32,8 @@
         "testfleet.py::test_the_store_is_followed_through_lost_history_and_outages",
         "followers.py",
         "                self._is_read = False\n"
-        "                self._times_gone += 1\n",
-        "                self._times_gone += 1\n",
+        "                self._history_gone_count += 1\n",
+        "                self._history_gone_count += 1\n",
     ),
     proofs.gateway(
         "a poll that tells nothing is checked",
@@ -45,31 +45,33 @@
     ),
     proofs.gateway(
         "a poll that a peer's copy went before is left",
-        "testfreshness.py::test_a_poll_that_a_peers_copy_went_before_is_asked_about"
-        "_and_left",
+        "testfreshness.py::test_a_poll_that_misses_a_change_in_a_peers_copy_is"
+        "_abandoned",
         "followers.py",
-        "            # A poll that does not tell the same soon is not going to.\n"
+        "            # A poll that does not report the same change soon never will.\n"
         "            self.expect_change()\n",
     ),
     proofs.gateway(
         "one who rests asks when no proof reaches it",
-        "testfreshness.py::test_a_follower_that_rests_asks_when_no_proof_reaches_it",
+        "testfreshness.py::test_a_follower_on_standby_asks_when_no_verification_"
+        "reaches_it",
         "followers.py",
         "elif not self.connected or self.fresh.is_check_due:",
         "elif not self.connected:",
     ),
     proofs.gateway(
         "a peer's proof counts for the same rows alone",
-        "testfreshness.py::test_a_peers_proof_counts_for_the_same_rows_alone",
+        "testfreshness.py::test_a_peers_verification_counts_only_for_the_same_rows",
         "followers.py",
         "if news.digest == self._digest and news.epoch == self.epoch:",
         "if news.changed == self.changed:",
     ),
     proofs.gateway(
         "a proof keeps its age under way",
-        "testfreshness.py::test_a_proof_keeps_its_age_however_long_it_was_under_way",
+        "testfreshness.py::test_a_verification_keeps_its_age_however_long_it_is_in"
+        "_transit",
         "freshness.py",
-        "at = self._store_clock.earliest(stamp)",
+        "at = self._store_clock.earliest_local(store_time)",
         "at = self._clock.now()",
     ),
     proofs.gateway(
@@ -128,7 +130,7 @@
         "testfreshness.py::test_a_gateway_whose_announcement_was_not_answered_makes_it"
         "_again",
         "gateway_own_rows.py",
-        "self._until_done(self._announce)",
+        "self._retry_until_done(self._announce)",
         "self._announce()",
     ),
     proofs.gateway(
@@ -178,8 +180,8 @@
         "a late answer of the store makes no rollout older",
         "testmovedsessions.py::test_a_store_that_answers_late_makes_no_rollout_older",
         "gateway_rows.py",
-        "store_clock.latest(start.started)",
-        "store_clock.earliest(start.started)",
+        "store_clock.latest_local(start.started)",
+        "store_clock.earliest_local(start.started)",
     ),
     proofs.gateway(
         "no start is written by a clock that is not the store's",
@@ -221,7 +223,7 @@
     ),
     proofs.gateway(
         "an odd row names no endpoint",
-        "testoddrows.py::test_an_odd_row_names_no_endpoint_and_the_others_hold",
+        "testoddrows.py::test_an_invalid_row_names_no_endpoint_and_the_others_stay",
         "gateway_rows.py",
         "self._directory.update(row.key, None)\n        is_restored",
         "pass\n        is_restored",
@@ -256,7 +258,7 @@
         "testfreshness.py::test_a_store_that_is_away_is_left_to_others_for_as_long"
         "_as_they_try",
         "followers.py",
-        "left_at if self._is_read and self._is_left() else try_at",
+        "late_try_at if self._is_read and self._peers_retry() else try_at",
         "try_at",
     ),
     proofs.gateway(
