--- a/gaprock/backoffs.py
+++ b/gaprock/backoffs.py
@@ -1,19 +1,20 @@
-"""Backoffs: endpoints that shed load and want nothing from this gateway for a while.
-
-What an endpoint rejects is over at once, so one that sheds has the least to do and
-would be chosen first.  Until the end of the time that it asks for nothing is sent
-there; what was sent before the word came may still arrive.  A later word can move the
-end only further away.
-
-The end is no signal that the load fits again.  Sends then begin with one, and each
-answer that is no refusal allows two more; gateways that were asked in the same moment
-begin at different ones.  For a while an endpoint is not filled again beyond what it
-had when it shed, nor beyond its slots: each request too many would cost a whole
-backoff, and the load of those in backoff falls upon the rest.  Where one shed that was
-full, no other of its service is filled up either.
-
-The word is not told to other gateways: it binds the one that was turned away, and one
-bad moment would become an outage.
+"""Backoffs: endpoints that shed load and ask this gateway to send nothing for a while.
+
+A rejected request ends at once, so an endpoint that sheds load looks the least loaded
+and would be chosen first.  Nothing is sent to it until the backoff ends; requests sent
+before the refusal arrived may still reach it.  A later refusal can only extend the
+backoff.
+
+The end of the backoff does not mean that the endpoint can take its usual load again.
+Sends resume with one, and each answer that is not a refusal allows two more.  Gateways
+that were asked at the same time resume at different times.  For a while an endpoint is
+kept below the load at which it shed, and below its slots: each request too many would
+cost a whole backoff, and the load of endpoints in backoff falls on the others.  If an
+endpoint shed load while full, the other endpoints of its service are not filled up
+either.
+
+Backoffs are not part of gossip: one binds only the gateway that was refused, since
+otherwise a short overload would become an outage.
 """
 
 import random
@@ -22,35 +23,36 @@
 
 from gaprock import clock, endpoint_state, eventlog, rate_pacing
 
-# A longer backoff is taken for one of so many seconds.
+# Longer backoffs are cut to this.
 LONGEST_S: typing.Final = 3600.0
-# The first send is up to this share of the backoff after its end, and no later than so
-# many seconds.
-SPREAD_SHARE: typing.Final = 0.2
-SPREAD_MOST_S: typing.Final = 1.0
-# Sends that an answer allows while the load comes back.
+# The first send is delayed past the end by a random time of up to this share of the
+# backoff, and no more than this many seconds.
+JITTER_SHARE: typing.Final = 0.2
+MAX_JITTER_S: typing.Final = 1.0
+# Sends that each answer allows during recovery.
 SENDS_PER_ANSWER: typing.Final = 2
-# Where nothing was answered for so long, one more is sent, seconds.
+# If no send is allowed any more, another one goes out this long after the last one.
 RETRY_S: typing.Final = 1.0
-# The load is back where nobody has sent for so long after the end, seconds.
+# A backoff is forgotten when nothing was sent for this long after its end.
 IDLE_S: typing.Final = 10.0
-# Requests a second that an endpoint is reckoned to take as its load comes back.
-RESUMED_PER_S: typing.Final = 4.0
-# For so long after its last refusal an endpoint is filled to this share of its slots,
-# seconds, or of what it had then, if that was this share of them at least.
+# Assumed rate that an endpoint takes during recovery, requests per second.
+RECOVERY_PER_S: typing.Final = 4.0
+# For ``CAPPED_S`` after its last refusal an endpoint is filled only to ``CAP_SHARE`` of
+# its slots, or of its load at the refusal if that was at least ``MIN_CAP_SHARE`` of
+# them.
 CAPPED_S: typing.Final = 60.0
 CAP_SHARE: typing.Final = 0.9
-LEAST_SHARE: typing.Final = 0.5
-# When a full one is looked at again, seconds.
-FULL_LOOK_S: typing.Final = 0.05
+MIN_CAP_SHARE: typing.Final = 0.5
+# When to try again to send to a full endpoint.
+FULL_RETRY_S: typing.Final = 0.05
 
 
 class _Backoff:
-    """The backoff of one life.
+    """The backoff of one endpoint incarnation.
 
     :param until: its end.
     :param resume_at: when the first send may go out.
-    :param cap: requests of all gateways up to which it is filled.
+    :param cap: requests of all gateways up to which the endpoint is filled.
     """
 
     __slots__ = (
@@ -69,38 +71,38 @@
         self.until = -clock.NEVER
         self.resume_at = -clock.NEVER
         self.refused_at = -clock.NEVER
-        # Sends that may go out once it has ended, and when the last one did.
+        # Sends that may go out after the end, and when the last one did.
         self.sends_left = 1
         self.last_at = -clock.NEVER
-        # Answers since its end that were no refusals, and all requests turned away.
+        # Answers since the end that were not refusals, and all refused requests.
         self.answers = 0
         self.refused = 0
         self.cap = CAP_SHARE * slots
-        # Whether its load is back but for the cap.
+        # Whether recovery is complete except for the cap.
         self.is_back = False
 
     def lower_cap(self, load: int, slots: int) -> None:
-        """Take that it shed with so many requests there.
+        """Lower the cap after a refusal under some load.
 
-        With few of them it shed for another reason than what it had of us.
+        An endpoint with little load shed for another reason than that load.
         """
-        if load >= LEAST_SHARE * slots:
+        if load >= MIN_CAP_SHARE * slots:
             self.cap = max(1.0, min(self.cap, CAP_SHARE * load))
 
     def next_at(self, load: int, now: float) -> float:
-        """Give when the next send is due.
+        """Return when the next send is due.
 
-        :param load: the requests that it has.
+        :param load: number of requests at the endpoint.
         """
         if not self.is_back and self.sends_left <= 0:
             next_at = max(self.resume_at, self.last_at + RETRY_S)
         else:
             next_at = self.resume_at
-        return max(next_at, now + FULL_LOOK_S) if load >= self.cap else next_at
+        return max(next_at, now + FULL_RETRY_S) if load >= self.cap else next_at
 
 
 class Backoffs:
-    """The backoffs of all endpoints by their lives; safe for all threads."""
+    """The backoffs of all endpoints, by incarnation; thread-safe."""
 
     __slots__ = (
         "stopped_sends",
@@ -109,31 +111,31 @@
         "_rng",
         "_lock",
         "_known",
-        "_wary_until",
+        "_service_capped_until",
     )
 
     def __init__(self, clock_: clock.Clock, rng: random.Random | None = None) -> None:
-        # Sends that were stopped as they left, and backoffs that were asked for.
+        # Number of sends stopped at their last check, and of backoffs asked for.
         self.stopped_sends = 0
         self.asked = 0
         self._clock = clock_
         self._rng = rng or random.Random()
         self._lock = threading.Lock()
         self._known: dict[str, _Backoff] = {}
-        # Until when no endpoint of a service is filled up, since a full one shed.
-        self._wary_until: dict[str, float] = {}
+        # Until then no endpoint of a service is filled up, since a full one shed load.
+        self._service_capped_until: dict[str, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether no endpoint backs us off, as most of the time."""
-        return not self._known and not self._wary_until
+        """Whether nothing is to be checked for any endpoint, as most of the time."""
+        return not self._known and not self._service_capped_until
 
     def note_refusal(
         self, endpoint: endpoint_state.Endpoint, backoff_s: float, sent_at: float
     ) -> None:
-        """Take that an endpoint turned a request away.
+        """Record that an endpoint refused a request.
 
-        :param backoff_s: for which it wants no more of them; 0 if it does not say.
+        :param backoff_s: the backoff that it asked for; 0 if none.
         :param sent_at: when the request was sent.
         """
         if not backoff_s and endpoint.incarnation not in self._known:
@@ -158,17 +160,17 @@
         is_new = now >= known.until
         until = now + backoff_s
         if until > known.until:
-            spread_s = min(SPREAD_MOST_S, SPREAD_SHARE * backoff_s)
+            spread_s = min(MAX_JITTER_S, JITTER_SHARE * backoff_s)
             known.until = until
             known.resume_at = until + self._rng.random() * spread_s
         known.sends_left, known.answers, known.is_back = 1, 0, False
         if is_new:
             self.asked += 1
-            # The one that it turned away still counts.
+            # The refused request is still counted in the load.
             load, slots = endpoint.load - 1, endpoint.row.slots
             known.lower_cap(load, slots)
             if load >= CAP_SHARE * slots:
-                self._wary_until[endpoint.row.service] = now + CAPPED_S
+                self._service_capped_until[endpoint.row.service] = now + CAPPED_S
             eventlog.info(
                 "endpoint-backoff",
                 endpoint=endpoint.name,
@@ -181,9 +183,9 @@
             )
 
     def note_answer(self, endpoint: endpoint_state.Endpoint, sent_at: float) -> None:
-        """Take an answer that is no refusal.
+        """Record an answer that is not a refusal.
 
-        :param sent_at: when the request was sent that it answers.
+        :param sent_at: when the answered request was sent.
         """
         if endpoint.incarnation not in self._known:
             return
@@ -216,25 +218,27 @@
     def _next_at(
         self, endpoint: endpoint_state.Endpoint, load: int, now: float
     ) -> float:
-        """Give when the next send to an endpoint is due.
+        """Return when the next send to an endpoint is due.
 
-        :param load: the requests that it has.
+        :param load: number of requests at the endpoint.
         """
         known = self._known.get(endpoint.incarnation)
         if known is not None:
             return known.next_at(load, now)
-        is_wary = now < self._wary_until.get(endpoint.row.service, -clock.NEVER)
-        if is_wary and load >= CAP_SHARE * endpoint.row.slots:
-            return now + FULL_LOOK_S
+        is_service_capped = now < self._service_capped_until.get(
+            endpoint.row.service, -clock.NEVER
+        )
+        if is_service_capped and load >= CAP_SHARE * endpoint.row.slots:
+            return now + FULL_RETRY_S
         return -clock.NEVER
 
     def take(self, endpoint: endpoint_state.Endpoint) -> bool:
-        """Count a send that goes out now; give whether it may."""
+        """Record a send that goes out now; return whether it is allowed."""
         if self.is_empty:
             return True
         with self._lock:
             now = self._clock.now()
-            # This send counts as running already.
+            # The load includes this send already.
             if now < self._next_at(endpoint, endpoint.load - 1, now):
                 self.stopped_sends += 1
                 return False
@@ -245,31 +249,32 @@
             return True
 
     def turn(self, endpoint: endpoint_state.Endpoint) -> rate_pacing.Turn:
-        """Give when our next sends to an endpoint are due."""
+        """Return when this gateway's next sends to an endpoint are due."""
         now = self._clock.now()
         next_at = self._next_at(endpoint, endpoint.load, now)
         if now >= next_at and endpoint.incarnation not in self._known:
             return rate_pacing.ANY_TIME
-        return rate_pacing.Turn(next_at, RESUMED_PER_S)
+        return rate_pacing.Turn(next_at, RECOVERY_PER_S)
 
     def count(self) -> int:
-        """Give how many endpoints want nothing now."""
+        """Return the number of endpoints in backoff."""
         now = self._clock.now()
         with self._lock:
             return sum(now < known.until for known in self._known.values())
 
     def forget_old(self, lives: typing.Container[str]) -> None:
-        """Drop what is over, and endpoints that are not there.
+        """Remove backoffs that no longer apply, and those of missing endpoints.
 
-        A row may lapse and come back meanwhile, so a time that is not over is kept.
+        A row may expire and come back, so a backoff that has not ended is kept even if
+        its endpoint is missing.
 
-        :param lives: those that are there.
+        :param lives: the current endpoint incarnations.
         """
         now = self._clock.now()
         with self._lock:
-            for service, until in list(self._wary_until.items()):
+            for service, until in list(self._service_capped_until.items()):
                 if now >= until:
-                    del self._wary_until[service]
+                    del self._service_capped_until[service]
             for incarnation, known in list(self._known.items()):
                 if incarnation not in lives and now >= known.until:
                     self._drop(incarnation, known, "gone")
--- a/gaprock/departures.py
+++ b/gaprock/departures.py
@@ -1,16 +1,17 @@
-"""Endpoints that leave though the shared store's rows do not say so, and since when.
+"""Departures: endpoints that leave although their rows in the store do not say so.
 
-They say it in their answers, or their rows did before the store was restored from a
+They said so in their answers, or their rows did before the store was restored from a
 backup.
 
-An answer tells it before the shared store does, which may be silent or read late.  So
-the store's row does not take it back: nothing tells a row that is older than the answer
-from a newer one, unless it was seen to say ``draining`` before.  What does is an answer
-to a request that was sent after the last such answer had come, since answers overtake
-each other.  Another life of the endpoint begins without.
+An answer announces a departure before the shared store does, which may be unavailable
+or read late.  So a row that does not say ``draining`` does not cancel it: whether the
+row is older or newer than the answer is unknown, unless an earlier row did say
+``draining``.  What cancels it is an answer without the notice to a request that was
+sent after the last answer with the notice arrived, since answers can overtake each
+other.  A new incarnation of the endpoint starts without a departure.
 
-A departure whose row was lost in a restore ends by a row that is written after it, or
-when the endpoint has had time to write it again.
+A departure whose row was lost in a restore ends when a row is written after the
+restore, or when the endpoint has had time to write its row again.
 """
 
 import threading
@@ -20,27 +21,26 @@
 
 from gaprock import clock, eventlog, store_epochs
 
-# How long the end of a departure is remembered, so that older word does not bring it
-# back, seconds.
+# How long the end of a departure is remembered, so that older reports do not revive it.
 KEEP_S: typing.Final = 10.0
-# How long one is kept whose endpoint is not there, seconds: its row may be back after
-# an outage of the store.
+# How long the departure of a missing endpoint is kept: its row may come back after an
+# outage of the store.
 KEEP_GONE_S: typing.Final = 600.0
-# Word of two gateways that is not further apart is of the same moment, seconds: beats
-# take a while, and what was told must not grow newer by being told back.
-SAME_S: typing.Final = 0.3
-# Departures that a beat tells, the newest.
-MOST_TOLD: typing.Final = 40
+# Reports whose times differ by no more than this count as simultaneous: heartbeats take
+# a while to arrive, and a report must not become newer by being reported back.
+SIMULTANEOUS_S: typing.Final = 0.3
+# Maximum number of departures in a heartbeat; the newest are sent.
+MAX_GOSSIPED: typing.Final = 40
 
 
 class DepartureNews(msgspec.Struct, array_like=True, frozen=True):
-    """Whether an endpoint leaves, as the sender knows.
+    """Whether an endpoint leaves, as reported by a peer.
 
-    :param endpoint: its life.
-    :param since_s: seconds since it first said so.
-    :param age_s: seconds since that was last said, or found to be over.
-    :param lost_row_s: seconds for which a row of a restored store that does not say so
-        is still doubted; 0 where there was no such row.
+    :param endpoint: its incarnation.
+    :param since_s: seconds since it first announced its departure.
+    :param age_s: seconds since the last notice, or since the departure ended.
+    :param lost_row_s: seconds for which a row of a restored store that does not show
+        the departure is still distrusted; 0 if no row was lost.
     """
 
     endpoint: str
@@ -51,35 +51,35 @@
 
     @property
     def urgent(self) -> tuple[str, bool]:
-        """What everybody must know at once."""
+        """The part whose change all gateways must learn at once."""
         return self.endpoint, self.is_leaving
 
 
 class _Departure:
-    """What is known of an endpoint; ``since`` is ``NEVER`` once it is over.
+    """The departure of an endpoint; ``since`` is ``NEVER`` once it is over.
 
-    :param is_answered: whether an answer said so.
-    :param doubted_until: until when a row that does not say so is doubted, since the
-        store was restored; 0 where it was not.
+    :param is_answered: whether an answer announced it.
+    :param distrust_row_until: until then a row that does not show the departure is
+        distrusted, since the store was restored; 0 if no row was lost.
     """
 
-    __slots__ = ("since", "as_of", "is_answered", "doubted_until")
+    __slots__ = ("since", "as_of", "is_answered", "distrust_row_until")
 
     def __init__(
         self,
         since: float,
         as_of: float,
         is_answered: bool = True,
-        doubted_until: float = 0.0,
+        distrust_row_until: float = 0.0,
     ) -> None:
         self.since = since
         self.as_of = as_of
         self.is_answered = is_answered
-        self.doubted_until = doubted_until
+        self.distrust_row_until = distrust_row_until
 
 
 class Departures:
-    """The departures of all endpoints by their lives; safe for all threads."""
+    """The departures of all endpoints, by incarnation; thread-safe."""
 
     __slots__ = ("_clock", "_lock", "_known")
 
@@ -89,9 +89,9 @@
         self._known: dict[str, _Departure] = {}
 
     def note_answer(self, incarnation: str, is_leaving: bool, sent_at: float) -> None:
-        """Take what the head of an answer says, or that it says nothing.
+        """Apply the leaving notice in the head of an answer, or its absence.
 
-        :param sent_at: when the request was sent that it answers.
+        :param sent_at: when the answered request was sent.
         """
         known = self._known.get(incarnation)
         if known is None and not is_leaving:
@@ -101,17 +101,17 @@
             now = self._clock.now()
             if is_leaving:
                 since = known.since if known is not None else clock.NEVER
-                until = known.doubted_until if known is not None else 0.0
-                departure = _Departure(min(since, now), now, doubted_until=until)
+                until = known.distrust_row_until if known is not None else 0.0
+                departure = _Departure(min(since, now), now, distrust_row_until=until)
                 self._set(incarnation, departure, "answer")
-            elif known is not None and known.doubted_until:
-                # An endpoint that leaves need not say so in its answers.
+            elif known is not None and known.distrust_row_until:
+                # An endpoint that leaves by its row need not say so in its answers.
                 return
             elif known is not None and sent_at > known.as_of:
                 self._set(incarnation, _Departure(clock.NEVER, sent_at), "answer")
 
     def note_lost_row(self, incarnation: str, since: float) -> None:
-        """Record that a restored store lost the row by which an endpoint leaves."""
+        """Record that a restored store lost the row that announced a departure."""
         now = self._clock.now()
         with self._lock:
             known = self._known.get(incarnation)
@@ -124,14 +124,14 @@
             )
 
     def is_row_lost(self, incarnation: str) -> bool:
-        """Whether an endpoint leaves by a row that a restored store lost."""
+        """Whether a departure was announced by a row that a restore lost."""
         known = self._known.get(incarnation)
-        return known is not None and known.doubted_until > 0.0
+        return known is not None and known.distrust_row_until > 0.0
 
     def end_restore_grace(self) -> list[str]:
-        """Take rows as they are once a restore is long enough ago.
+        """Trust rows again once endpoints had time to rewrite them after a restore.
 
-        :returns: the endpoints whose rows were doubted.
+        :returns: the incarnations whose rows were distrusted.
         """
         if not self._known:
             return []
@@ -140,7 +140,7 @@
             found = [
                 (incarnation, known)
                 for incarnation, known in self._known.items()
-                if 0.0 < known.doubted_until < now
+                if 0.0 < known.distrust_row_until < now
             ]
             for incarnation, known in found:
                 since = known.since if known.is_answered else clock.NEVER
@@ -149,7 +149,7 @@
         return [incarnation for incarnation, _ in found]
 
     def note_row_back(self, incarnation: str) -> None:
-        """Take that a row which said ``draining`` no longer does."""
+        """End a departure, since a row that said ``draining`` no longer does."""
         with self._lock:
             if incarnation in self._known:
                 departure = _Departure(clock.NEVER, self._clock.now())
@@ -171,18 +171,18 @@
         )
 
     def since(self, incarnation: str) -> float:
-        """Give since when an endpoint says that it leaves; ``NEVER`` if it does not."""
+        """Return since when an endpoint leaves; ``NEVER`` if it does not."""
         known = self._known.get(incarnation)
         return known.since if known is not None else clock.NEVER
 
-    # -- What gateways tell each other --
+    # -- Gossip --
 
     def news(
         self, is_wanted: typing.Callable[[str], bool] = lambda incarnation: True
     ) -> list[DepartureNews]:
-        """Give what is known.
+        """Return the departures to report to peers, and those that ended lately.
 
-        :param is_wanted: whether a departure is worth telling, by the endpoint's life.
+        :param is_wanted: whether to report the departure of an incarnation.
         """
         if not self._known:
             return []
@@ -194,20 +194,20 @@
                     known.since < clock.NEVER,
                     now - min(now, known.since),
                     now - known.as_of,
-                    max(0.0, known.doubted_until - now),
+                    max(0.0, known.distrust_row_until - now),
                 )
                 for incarnation, known in self._known.items()
                 if known.since == clock.NEVER or is_wanted(incarnation)
             ]
         news.sort(key=lambda one: (one.age_s, one.endpoint))
-        return news[:MOST_TOLD]
+        return news[:MAX_GOSSIPED]
 
     def record_news(
         self, sender: str, news: list[DepartureNews], age_s: float = 0.0
     ) -> None:
-        """Take what another gateway, or a hall's carrier, tells.
+        """Apply departures that a peer, or a hall's relay, reports.
 
-        :param age_s: how long the news were on their way, seconds.
+        :param age_s: time that the message was on its way.
         """
         now = self._clock.now() - age_s
         with self._lock:
@@ -215,36 +215,38 @@
                 as_of = now - max(0.0, one.age_s)
                 since = now - max(0.0, one.since_s) if one.is_leaving else clock.NEVER
                 until = now + one.lost_row_s if one.lost_row_s > 0.0 else 0.0
-                # Whoever has it from an answer tells it without a lost row.
+                # Whoever learned it from an answer reports it without a lost row.
                 told = _Departure(since, as_of, not until, until)
                 self._merge(one.endpoint, told, sender)
 
     def _merge(self, incarnation: str, told: _Departure, sender: str) -> None:
-        """Take what is newer, and of word of the same moment that it leaves."""
+        """Apply a newer report; of simultaneous ones, the one of a departure wins."""
         known = self._known.get(incarnation)
         if known is None:
             if told.since < clock.NEVER:
                 self._set(incarnation, told, sender)
             return
-        if told.as_of > known.as_of + SAME_S:
+        if told.as_of > known.as_of + SIMULTANEOUS_S:
             if told.since < clock.NEVER:
                 told.since = min(told.since, known.since)
                 told.is_answered |= known.is_answered and known.since < clock.NEVER
-                told.doubted_until = max(told.doubted_until, known.doubted_until)
+                told.distrust_row_until = max(
+                    told.distrust_row_until, known.distrust_row_until
+                )
             self._set(incarnation, told, sender)
-        elif told.since < known.since and told.as_of >= known.as_of - SAME_S:
+        elif told.since < known.since and told.as_of >= known.as_of - SIMULTANEOUS_S:
             told.as_of = known.as_of
             self._set(incarnation, told, sender)
 
     def lives(self) -> list[str]:
-        """Give the endpoints that say that they leave."""
+        """Return the incarnations that leave."""
         with self._lock:
             return [k for k, one in self._known.items() if one.since < clock.NEVER]
 
     def forget_old(self, lives: typing.Container[str]) -> None:
-        """Drop what is over, and endpoints that are not there.
+        """Remove departures that ended, and those of missing endpoints.
 
-        :param lives: those that are there.
+        :param lives: the current endpoint incarnations.
         """
         now = self._clock.now()
         with self._lock:
--- a/gaprock/directory.py
+++ b/gaprock/directory.py
@@ -1,10 +1,11 @@
-"""The endpoints that a gateway knows, and how they fare.
-
-Who is there is in ``directory_rows``, what others tell in ``directory_peers``.  Load is
-counted by ourselves and told by other gateways.  Health is learned from our own
-requests: an endpoint that takes no connection, falls silent or fails more than its
-peers is set aside for a while, then tried with one request that may be repeated.  An
-endpoint that another gateway found dark is avoided until we hear from it ourselves.
+"""The directory of endpoints that a gateway knows: their load and health.
+
+Membership is in ``directory_rows``, state reported by peers in ``directory_peers``.
+Load is the sum of this gateway's own requests and those that peers report.  Health is
+learned from this gateway's own requests (outlier ejection): an endpoint that refuses
+connections, falls silent or fails more often than the others of its service is ejected
+for a while, then probed with one request that may be repeated.  An endpoint that a peer
+reported as unreachable is avoided until this gateway hears from it.
 """
 
 import random
@@ -21,18 +22,18 @@
     warm_up,
 )
 
-# Longest pause of an endpoint that took no connection, seconds.
-LONGEST_PAUSE_S: typing.Final = 4.0
-# Weight of a new observation in the running means.
+# Longest ejection of an endpoint that refused a connection.
+MAX_EJECTION_S: typing.Final = 4.0
+# Weight of a new sample in exponentially weighted means.
 MEAN_WEIGHT: typing.Final = 0.15
-# An endpoint whose share of failures is this far above the others' is set aside.
+# An endpoint is ejected when its failure rate exceeds the mean of the others by this.
 FAILURE_EXCESS: typing.Final = 0.25
-# Answers before the share of failures counts.
+# Answers that are needed before the failure rate is used.
 MIN_ANSWERS: typing.Final = 4
 
 
-class Directory(directory_peers.ToldBook):
-    """All endpoints; safe for all threads."""
+class Directory(directory_peers.GossipDirectory):
+    """All endpoints with their load and health; thread-safe."""
 
     def __init__(
         self,
@@ -43,13 +44,13 @@
     ) -> None:
         super().__init__(clock_, drain_s, slow_starts, notices)
         self._rng = random.Random()
-        # How fast the engines read.
+        # Measured prefill speed of the engines.
         self.pace = prefill_pace.PrefillPace()
 
     # -- Health --
 
     def is_ejected(self, endpoint: endpoint_state.Endpoint, now: float) -> bool:
-        """Whether an endpoint is paused, or its trial request is not back yet."""
+        """Whether an endpoint is ejected, or its probe has not been answered yet."""
         if not mechanisms.SET_ASIDE.on:
             return False
         if now < endpoint.ejected_until or endpoint.probe_in_flight:
@@ -57,7 +58,7 @@
         return self.fails_often(endpoint)
 
     def fails_often(self, endpoint: endpoint_state.Endpoint) -> bool:
-        """Whether it fails clearly more often than the others of its service."""
+        """Whether an endpoint clearly fails more often than others of its service."""
         if endpoint.answers < MIN_ANSWERS or endpoint.failure_rate < FAILURE_EXCESS:
             return False
         with self._lock:
@@ -69,7 +70,7 @@
         usual = sum(others) / len(others) if others else endpoint.failure_rate
         return endpoint.failure_rate - usual > FAILURE_EXCESS
 
-    # -- What our requests tell --
+    # -- Own requests --
 
     def begin(
         self, endpoint: endpoint_state.Endpoint, prompt: endpoint_state.Prompt
@@ -85,15 +86,15 @@
             endpoint.backlog.add(prompt.reading, now)
             if endpoint.ejected_until and now >= endpoint.ejected_until:
                 endpoint.probe_in_flight = True
-                self._note_dark(endpoint, False)
+                self._set_unreachable(endpoint, False)
 
     def read(
         self, endpoint: endpoint_state.Endpoint, prompt: endpoint_state.Prompt
     ) -> None:
-        """Note that a prompt was read, since its answer has begun.
+        """Record that prefill of a prompt is done, since its answer has begun.
 
-        Only now is it kept: a prompt that comes while another of the same subject is
-        being read is read as well.
+        The prompt counts as cached only from now on: another prompt with the same
+        prefix that arrives during the prefill is read in full as well.
         """
         with self._lock:
             endpoint.backlog.remove(prompt.reading, self._clock.now())
@@ -105,16 +106,16 @@
     def drop(
         self, endpoint: endpoint_state.Endpoint, prompt: endpoint_state.Prompt
     ) -> None:
-        """Note that a prompt will not be read, since its send is over."""
+        """Remove a prompt from the backlog, since its send ended before that."""
         with self._lock:
             endpoint.backlog.remove(prompt.reading, self._clock.now())
 
     def unread(self, endpoint: endpoint_state.Endpoint) -> float:
-        """Give what an endpoint likely has to read, in tokens of the largest model."""
+        """Return the estimated prefill backlog, in tokens of the largest model."""
         return self.unread_tokens([endpoint])[0]
 
     def unread_tokens(self, endpoints: list[endpoint_state.Endpoint]) -> list[float]:
-        """Give the same for some endpoints of one service."""
+        """Return the estimated prefill backlogs of endpoints of one service."""
         if not endpoints:
             return []
         now = self._clock.now()
@@ -125,55 +126,58 @@
             return [e.backlog.left(now, tokens_per_s) for e in endpoints]
 
     def end(self, endpoint: endpoint_state.Endpoint) -> None:
-        """Count a request that is done with."""
+        """Record the end of a request."""
         with self._lock:
             endpoint.running -= 1
             if not endpoint.running:
                 self._busy.pop(endpoint.incarnation, None)
-                # A trial request that ended without a word on the endpoint.
+                # A probe may end without showing whether the endpoint works.
                 endpoint.probe_in_flight = False
 
     def heard(self, endpoint: endpoint_state.Endpoint) -> None:
-        """Note bytes from an endpoint."""
+        """Record that bytes arrived from an endpoint."""
         endpoint.last_seen_at = self._clock.now()
         if endpoint.is_unreachable:
             with self._lock:
-                self._note_dark(endpoint, False)
+                self._set_unreachable(endpoint, False)
 
-    def _note_dark(
+    def _set_unreachable(
         self, endpoint: endpoint_state.Endpoint, is_unreachable: bool
     ) -> None:
         endpoint.is_unreachable = is_unreachable
         if is_unreachable and not endpoint.is_over:
-            self._dark[endpoint.incarnation] = endpoint
+            self._unreachable[endpoint.incarnation] = endpoint
         else:
-            self._dark.pop(endpoint.incarnation, None)
+            self._unreachable.pop(endpoint.incarnation, None)
 
     def claim_silence_check(self, endpoint: endpoint_state.Endpoint) -> bool:
-        """Whether a silent endpoint is to be looked at now, by this caller."""
+        """Whether this caller is to check the connection to a silent endpoint now.
+
+        At most one caller gets this task in each check interval.
+        """
         if not mechanisms.LOOKS.on:
             return False
         now = self._clock.now()
         with self._lock:
             if (
                 not endpoint.silent(now)
-                or now < endpoint.looked_at + endpoint_state.LOOK_EVERY_S
+                or now < endpoint.checked_at + endpoint_state.CHECK_INTERVAL_S
             ):
                 return False
-            endpoint.looked_at = now
+            endpoint.checked_at = now
             return True
 
     def claim_connection_check(self, endpoint: endpoint_state.Endpoint) -> bool:
-        """Whether an endpoint that broke an answer off is to be looked at now."""
+        """Whether to check an endpoint that broke off an answer by a connection now."""
         now = self._clock.now()
         with self._lock:
-            if now < endpoint.looked_at + endpoint_state.LOOK_EVERY_S:
+            if now < endpoint.checked_at + endpoint_state.CHECK_INTERVAL_S:
                 return False
-            endpoint.looked_at = now
+            endpoint.checked_at = now
             return True
 
     def answered(self, endpoint: endpoint_state.Endpoint, failed: bool) -> None:
-        """Note an answer, or the lack of one that the endpoint is to blame for."""
+        """Record an answer, or a failure that the endpoint is responsible for."""
         with self._lock:
             endpoint.answers += 1
             change = MEAN_WEIGHT * (failed - endpoint.failure_rate)
@@ -182,23 +186,23 @@
                 self._resume(endpoint)
 
     def eject_replaced(self, endpoint: endpoint_state.Endpoint) -> None:
-        """Set an endpoint aside for long: another one answers at its address."""
-        endpoint.pause_s = LONGEST_PAUSE_S
+        """Eject an endpoint for the longest time: another answers at its address."""
+        endpoint.pause_s = MAX_EJECTION_S
         self.eject(endpoint, "another endpoint answers")
 
     def eject(self, endpoint: endpoint_state.Endpoint, reason: str) -> None:
-        """Set an endpoint aside, longer each time."""
+        """Eject an endpoint as unreachable, for a longer time after each failure."""
         with self._lock:
             now = self._clock.now()
             endpoint.probe_in_flight = False
-            endpoint.looked_at = now
-            self._note_dark(endpoint, True)
-            self._slow_starts.note_return(endpoint, "took no connection")
+            endpoint.checked_at = now
+            self._set_unreachable(endpoint, True)
+            self._slow_starts.assume_cold(endpoint, "refused connection")
             if now < endpoint.ejected_until:
                 return
             pause_s = endpoint.pause_s * self._rng.uniform(0.8, 1.2)
             endpoint.ejected_until = now + pause_s
-            endpoint.pause_s = min(LONGEST_PAUSE_S, endpoint.pause_s * 2)
+            endpoint.pause_s = min(MAX_EJECTION_S, endpoint.pause_s * 2)
         eventlog.info(
             "endpoint-paused", endpoint=endpoint.name, reason=reason, pause_s=pause_s
         )
@@ -207,12 +211,12 @@
         endpoint.probe_in_flight = False
         if endpoint.ejected_until:
             endpoint.ejected_until = 0.0
-            endpoint.pause_s = endpoint_state.FIRST_PAUSE_S
-            self._slow_starts.note_return(endpoint, "answers again")
+            endpoint.pause_s = endpoint_state.FIRST_EJECTION_S
+            self._slow_starts.assume_cold(endpoint, "answers again")
             eventlog.info("endpoint-resumed", endpoint=endpoint.name)
 
     def running_on_other_versions(self, service: str, version: str) -> int:
-        """Give our requests at a service's endpoints of other versions."""
+        """Count own requests at the endpoints of a service that run other versions."""
         with self._lock:
             return sum(
                 e.running
--- a/gaprock/directory_peers.py
+++ b/gaprock/directory_peers.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of endpoints: loads, prompts, and which are dark."""
+"""Endpoint state in gossip: loads, cached prompts and unreachable endpoints."""
 
 import collections
 import typing
@@ -14,17 +14,18 @@
     warm_up,
 )
 
-# Share of an engine's memory that is taken as room for parts of prompts; running
-# requests have the rest.
+# Share of an engine's memory that is assumed to hold its prefix cache; running requests
+# use the rest.
 CACHE_SHARE: typing.Final = 0.8
-# Prompts that are kept to be told to other gateways.
+# Number of recent prompts that are kept for gossip.
 TOLD_PROMPTS: typing.Final = 1000
-# A gateway that finds more than this share of a service dark is likely cut off itself.
-DARK_SHARE: typing.Final = 0.5
+# A peer that reports more than this share of a service as unreachable is probably cut
+# off itself, and its report is ignored.
+MAX_UNREACHABLE_SHARE: typing.Final = 0.5
 
 
-class ToldBook(directory_rows.EndpointBook):
-    """What this gateway tells of endpoints, and hears from others."""
+class GossipDirectory(directory_rows.EndpointTable):
+    """The endpoints with the state that gateways exchange about them."""
 
     def __init__(
         self,
@@ -34,18 +35,19 @@
         notices: endpoint_notices.EndpointNotices | None = None,
     ) -> None:
         super().__init__(clock_, drain_s, slow_starts, notices)
-        # The lives at which each other gateway has requests, as it told last.
-        self._told: dict[str, typing.Collection[str]] = {}
-        # Memory of a service's engines, in tokens.
+        # Endpoint incarnations with requests of each peer, by its last report.
+        self._peer_loads: dict[str, typing.Collection[str]] = {}
+        # Memory of each service's engines, in tokens.
         self._memory: dict[str, int] = {}
-        # Prompts that were read for us, as (endpoint, marks); how many there ever were.
+        # Own prompts whose prefill is done, as (endpoint incarnation, prefix hashes),
+        # and their total number so far.
         self._prompts: collections.deque[tuple[str, list[prefix_cache.PrefixHash]]] = (
             collections.deque(maxlen=TOLD_PROMPTS)
         )
         self._prompt_count = 0
 
     def set_memory(self, tokens: dict[str, int]) -> None:
-        """Take the memory of each service's engines, in tokens."""
+        """Set the memory of each service's engines, in tokens."""
         self._memory = tokens
 
     def has_memory(self, service: str) -> bool:
@@ -58,10 +60,10 @@
         room = CACHE_SHARE * self._memory.get(endpoint.row.service, 0)
         endpoint.cache.use(hashes, int(room))
 
-    # -- What other gateways tell --
+    # -- Gossip --
 
     def own_loads(self) -> dict[str, endpoint_state.Load]:
-        """Give what we have at each endpoint."""
+        """Return this gateway's load at each endpoint."""
         with self._lock:
             return {
                 e.incarnation: endpoint_state.Load(e.running, round(e.backlog.own))
@@ -71,7 +73,7 @@
     def prompts_since(
         self, count: int
     ) -> tuple[int, list[tuple[str, list[prefix_cache.PrefixHash]]]]:
-        """Give our prompts after the first so many, and how many there are now."""
+        """Return the number of own prompts, and those after the first ``count``."""
         with self._lock:
             new = min(len(self._prompts), self._prompt_count - count)
             last = list(self._prompts)[len(self._prompts) - new :] if new else []
@@ -80,78 +82,80 @@
     def apply_peer_prompts(
         self, prompts: list[tuple[str, list[prefix_cache.PrefixHash]]]
     ) -> None:
-        """Take the prompts that another gateway sent."""
+        """Apply the prompts that a peer reported to the prefix caches."""
         if not mechanisms.TOLD_PROMPTS.on:
             return
         with self._lock:
             for incarnation, hashes in prompts:
-                endpoint = self._lives.get(incarnation)
+                endpoint = self._by_incarnation.get(incarnation)
                 if endpoint is not None:
                     self._use(endpoint, hashes)
 
     def unreachable_endpoints(self) -> list[str]:
-        """Give the endpoints that we find dark."""
+        """Return the incarnations that this gateway finds unreachable."""
         with self._lock:
-            return sorted(self._dark)
+            return sorted(self._unreachable)
 
     def found_unreachable(self, gateways: typing.Collection[str]) -> list[str]:
-        """Give the endpoints that we or some others, by their names, find dark."""
+        """Return what is unreachable for this gateway or for any of ``gateways``."""
         with self._lock:
             doubted = [
                 incarnation
-                for incarnation, e in self._doubted.items()
-                if not e.doubters.isdisjoint(gateways)
+                for incarnation, e in self._suspected.items()
+                if not e.suspected_by.isdisjoint(gateways)
             ]
-            return sorted({*self._dark, *doubted})
+            return sorted({*self._unreachable, *doubted})
 
     def doubted(self) -> list[str]:
-        """Give the endpoints that anybody finds dark."""
+        """Return the incarnations that any peer reports as unreachable."""
         with self._lock:
-            return sorted(self._doubted)
+            return sorted(self._suspected)
 
     def apply_peer_unreachable(
         self, gateway: str, names: typing.Collection[str]
     ) -> None:
-        """Take the endpoints that another gateway finds dark, by their lives."""
+        """Apply the incarnations that a peer reports as unreachable."""
         if not mechanisms.DOUBTED.on:
             return
         now = self._clock.now()
         with self._lock:
             told = [
-                self._lives[incarnation]
+                self._by_incarnation[incarnation]
                 for incarnation in names
-                if incarnation in self._lives
+                if incarnation in self._by_incarnation
             ]
             found = collections.Counter(e.row.service for e in told)
-            for endpoint in list(self._doubted.values()):
+            for endpoint in list(self._suspected.values()):
                 if endpoint.incarnation not in names:
-                    self._undoubt(endpoint, gateway)
+                    self._remove_suspicion(endpoint, gateway)
             for endpoint in told:
                 size = len(self._index.of_service(endpoint.row.service))
-                if found[endpoint.row.service] > max(1, DARK_SHARE * size):
-                    self._undoubt(endpoint, gateway)
-                elif gateway not in endpoint.doubters:
-                    self._doubt(endpoint, gateway, now)
+                if found[endpoint.row.service] > max(1, MAX_UNREACHABLE_SHARE * size):
+                    self._remove_suspicion(endpoint, gateway)
+                elif gateway not in endpoint.suspected_by:
+                    self._add_suspicion(endpoint, gateway, now)
 
-    def _doubt(
+    def _add_suspicion(
         self, endpoint: endpoint_state.Endpoint, gateway: str, now: float
     ) -> None:
-        if not endpoint.doubters:
-            endpoint.doubted_at = now
-            self._slow_starts.note_return(endpoint, "found dark")
-            self._log_doubt(endpoint, gateway, now)
-        endpoint.doubters.add(gateway)
-        self._doubted[endpoint.incarnation] = endpoint
-
-    def _undoubt(self, endpoint: endpoint_state.Endpoint, gateway: str) -> None:
-        if gateway not in endpoint.doubters:
+        if not endpoint.suspected_by:
+            endpoint.suspected_at = now
+            self._slow_starts.assume_cold(endpoint, "reported unreachable")
+            self._log_suspicion(endpoint, gateway, now)
+        endpoint.suspected_by.add(gateway)
+        self._suspected[endpoint.incarnation] = endpoint
+
+    def _remove_suspicion(
+        self, endpoint: endpoint_state.Endpoint, gateway: str
+    ) -> None:
+        if gateway not in endpoint.suspected_by:
             return
-        endpoint.doubters.discard(gateway)
-        if not endpoint.doubters:
-            self._doubted.pop(endpoint.incarnation, None)
-            self._slow_starts.note_return(endpoint, "no longer dark")
+        endpoint.suspected_by.discard(gateway)
+        if not endpoint.suspected_by:
+            self._suspected.pop(endpoint.incarnation, None)
+            self._slow_starts.assume_cold(endpoint, "no longer reported unreachable")
 
-    def _log_doubt(
+    def _log_suspicion(
         self, endpoint: endpoint_state.Endpoint, gateway: str, now: float
     ) -> None:
         eventlog.info(
@@ -164,13 +168,13 @@
     def apply_peer_loads(
         self, gateway: str, loads: dict[str, endpoint_state.Load]
     ) -> None:
-        """Take another gateway's requests by the endpoints' lives."""
+        """Apply a peer's load at each endpoint incarnation."""
         if not mechanisms.TOLD_LOADS.on:
             return
         now = self._clock.now()
         with self._lock:
-            for incarnation in {*self._told.get(gateway, ()), *loads}:
-                endpoint = self._lives.get(incarnation)
+            for incarnation in {*self._peer_loads.get(gateway, ()), *loads}:
+                endpoint = self._by_incarnation.get(incarnation)
                 if endpoint is None:
                     continue
                 load = loads.get(incarnation)
@@ -179,6 +183,6 @@
                     endpoint.others[gateway] = load
                 else:
                     endpoint.others.pop(gateway, None)
-            self._told[gateway] = tuple(loads)
+            self._peer_loads[gateway] = tuple(loads)
             if not loads:
-                del self._told[gateway]
+                del self._peer_loads[gateway]
--- a/gaprock/endpoint_index.py
+++ b/gaprock/endpoint_index.py
@@ -1,9 +1,10 @@
-"""The endpoints by service and hall, on rings, of which a request looks at a few.
+"""Index of endpoints by service and hall, as consistent-hash rings.
 
-Each hall's endpoints of a service stand on a ring by a hash of their names.  A request
-looks at those that follow its own place: requests about the same subject look at the
-same ones, at whichever gateway they come in, and all are looked at alike often.  An
-endpoint that comes or goes changes the choice beside it alone.
+Each hall's endpoints of a service are placed on a ring by a hash of their names.  A
+request considers those that follow its own position.  Requests about the same subject
+thus consider the same endpoints at every gateway, and all endpoints are considered
+about equally often.  Adding or removing an endpoint changes only the choices next to
+it on the ring.
 """
 
 import bisect
@@ -17,7 +18,7 @@
 
 
 class EndpointIndex:
-    """The endpoints of all services; not safe for threads by itself."""
+    """The endpoints of all services; not thread-safe."""
 
     __slots__ = ("_by_service", "_rings")
 
@@ -27,14 +28,14 @@
         self._rings: dict[str, dict[str, Ring]] = {}
 
     def add(self, endpoint: endpoint_state.Endpoint) -> None:
-        """Take an endpoint in."""
+        """Add an endpoint."""
         row = endpoint.row
         self._by_service.setdefault(row.service, {})[endpoint.name] = endpoint
         ring = self._rings.setdefault(row.service, {}).setdefault(row.hall, [])
         bisect.insort(ring, _place(endpoint))
 
     def remove(self, endpoint: endpoint_state.Endpoint) -> None:
-        """Drop an endpoint that was taken in with the row that it has."""
+        """Remove an endpoint; its row must be the one with which it was added."""
         row = endpoint.row
         self._by_service[row.service].pop(endpoint.name, None)
         ring = self._rings[row.service][row.hall]
@@ -43,20 +44,20 @@
             del ring[at]
 
     def of_service(self, service: str) -> typing.Collection[endpoint_state.Endpoint]:
-        """Give all endpoints of a service."""
+        """Return all endpoints of a service."""
         return self._by_service.get(service, {}).values()
 
     def halls(self, service: str) -> list[str]:
-        """Give the halls that have, or had, endpoints of a service."""
+        """Return the halls that have, or had, endpoints of a service."""
         return list(self._rings.get(service, ()))
 
     def following(
         self, service: str, hall: str, key: int, count: int, test: Test
     ) -> list[endpoint_state.Endpoint]:
-        """Give the next endpoints of a hall that pass a test, from a place on.
+        """Return the endpoints of a hall that follow a position and pass a test.
 
-        :param key: the place, as by ``zlib.crc32``.
-        :param count: how many to give at most.
+        :param key: the position on the ring, as from ``zlib.crc32``.
+        :param count: maximum number of endpoints to return.
         """
         ring = self._rings.get(service, {}).get(hall, [])
         first = bisect.bisect_left(ring, (key, ""))
@@ -73,5 +74,5 @@
 def _place(
     endpoint: endpoint_state.Endpoint,
 ) -> tuple[int, str, endpoint_state.Endpoint]:
-    """Give where an endpoint stands; no two with the same name are on a ring."""
+    """Return an endpoint's ring entry; names are unique on a ring."""
     return zlib.crc32(endpoint.name.encode()), endpoint.name, endpoint
--- a/gaprock/endpoint_notices.py
+++ b/gaprock/endpoint_notices.py
@@ -1,10 +1,10 @@
-"""What endpoints say of themselves in their answers, in one book by their lives.
+"""Notices that endpoints send in their answers, by incarnation.
 
-Each answer of an endpoint comes through ``note_answer``, whatever it is: a refusal, a
-failure, the head of a stream.  What it asks for is a rate limit (``rate_pacing``), a
-backoff (``backoffs``) or that it leaves (``departures``).  Each send is held against
-all of it twice: when the endpoint is chosen, and at the last look before the request
-leaves, since it may have said so in between.
+Each answer of an endpoint passes through ``note_answer``, whatever it is: a refusal, a
+failure, the head of a stream.  It may announce a rate limit (``rate_pacing``), a
+backoff (``backoffs``) or a departure (``departures``).  Each send is checked against
+all of them twice: when the endpoint is chosen, and right before the request is sent,
+since a notice may have arrived in between.
 """
 
 import threading
@@ -20,17 +20,24 @@
     rate_pacing,
 )
 
-# A header that cannot be used is logged so often for an endpoint, seconds.
-LOG_ODD_S: typing.Final = 10.0
+# Least interval between log lines about an invalid header of an endpoint.
+INVALID_LOG_INTERVAL_S: typing.Final = 10.0
 
 
 class EndpointNotices:
-    """What all endpoints say of themselves; safe for all threads.
+    """The notices of all endpoints; thread-safe.
 
-    :param pacer: keeps to the rate limits.
+    :param pacer: enforces the rate limits.
     """
 
-    __slots__ = ("pacer", "departures", "backoffs", "_clock", "_lock", "_odd_at")
+    __slots__ = (
+        "pacer",
+        "departures",
+        "backoffs",
+        "_clock",
+        "_lock",
+        "_invalid_logged_at",
+    )
 
     def __init__(
         self, clock_: clock.Clock, pacer: rate_pacing.Pacer | None = None
@@ -40,8 +47,8 @@
         self.backoffs = backoffs.Backoffs(clock_)
         self._clock = clock_
         self._lock = threading.Lock()
-        # When a header that cannot be used was last logged, by life and header.
-        self._odd_at: dict[tuple[str, str], float] = {}
+        # When an invalid header was last logged, by incarnation and header.
+        self._invalid_logged_at: dict[tuple[str, str], float] = {}
 
     def note_answer(
         self,
@@ -49,14 +56,14 @@
         head: gateway_api.AnswerHead,
         sent_at: float,
     ) -> None:
-        """Take what an answer says of its endpoint, or that it says nothing.
+        """Apply the notices in an answer, or the absence of notices.
 
-        :param sent_at: when the request was sent that it answers.
+        :param sent_at: when the answered request was sent.
         """
         notice, incarnation = head.notice, endpoint.incarnation
         for text in notice.odd:
-            self._note_odd(endpoint, text)
-        # What another endpoint does not say is no word of this one.
+            self._log_invalid(endpoint, text)
+        # If another endpoint answered, a missing notice says nothing about this one.
         if not head.wrong_endpoint or notice.limit.per_s is not None:
             self.pacer.limits.note_answer(endpoint, notice.limit, sent_at)
         if not head.wrong_endpoint or notice.is_leaving:
@@ -66,24 +73,28 @@
         else:
             self.backoffs.note_answer(endpoint, sent_at)
 
-    def _note_odd(self, endpoint: endpoint_state.Endpoint, text: str) -> None:
+    def _log_invalid(self, endpoint: endpoint_state.Endpoint, text: str) -> None:
         key, now = (endpoint.incarnation, text.partition(":")[0]), self._clock.now()
         with self._lock:
-            if now < self._odd_at.get(key, -clock.NEVER) + LOG_ODD_S:
+            if (
+                now
+                < self._invalid_logged_at.get(key, -clock.NEVER)
+                + INVALID_LOG_INTERVAL_S
+            ):
                 return
-            self._odd_at[key] = now
+            self._invalid_logged_at[key] = now
         eventlog.warning("endpoint-notice-odd", endpoint=endpoint.name, text=text)
 
     def forget_old(self, lives: typing.Container[str]) -> None:
-        """Drop what is over.
+        """Remove notices that no longer apply.
 
-        :param lives: the endpoints that are there.
+        :param lives: the current endpoint incarnations.
         """
         self.pacer.forget_old(lives)
         self.departures.forget_old(lives)
         self.backoffs.forget_old(lives)
-        before = self._clock.now() - LOG_ODD_S
+        before = self._clock.now() - INVALID_LOG_INTERVAL_S
         with self._lock:
-            for key, at in list(self._odd_at.items()):
+            for key, at in list(self._invalid_logged_at.items()):
                 if at < before:
-                    del self._odd_at[key]
+                    del self._invalid_logged_at[key]
--- a/gaprock/endpoint_state.py
+++ b/gaprock/endpoint_state.py
@@ -1,26 +1,26 @@
-"""One endpoint as a gateway knows it: its row, load, health, and what it keeps.
+"""State of one endpoint as a gateway knows it: row, load, health and prefix cache.
 
-The numbers are the directory's (``directory``), which guards and changes them.
+The directory (``directory``) owns this state and guards it by its lock.
 """
 
 import typing
 
 from gaprock import backlog, clock, gateway_api, prefix_cache
 
-# First pause of an endpoint that took no connection, seconds.
-FIRST_PAUSE_S: typing.Final = 0.5
-# An endpoint that says nothing for this long while it has requests of ours is looked
-# at with a new connection, seconds.
+# First ejection of an endpoint that refused a connection.
+FIRST_EJECTION_S: typing.Final = 0.5
+# An endpoint that sends nothing for this long while it has requests of this gateway is
+# checked with a new connection.
 SILENT_S: typing.Final = 0.5
-# An endpoint is looked at with a new connection at most so often, seconds.
-LOOK_EVERY_S: typing.Final = 0.5
+# Least interval between connection checks of an endpoint.
+CHECK_INTERVAL_S: typing.Final = 0.5
 
 
 class Load(typing.NamedTuple):
-    """What a gateway has at an endpoint.
+    """Load of a gateway at an endpoint.
 
-    :param running: requests.
-    :param reading: prompts that are not read yet, in tokens of the largest model.
+    :param running: number of requests.
+    :param reading: prefill backlog, in tokens of the largest model.
     """
 
     running: int
@@ -28,12 +28,12 @@
 
 
 class Prompt(typing.NamedTuple):
-    """What a send makes an endpoint read.
+    """Prefill work that a send causes at an endpoint.
 
-    :param reading: what is not kept there, in tokens of the largest model.
-    :param hashes: all of its parts.
-    :param tokens: what is not kept there, in tokens of its own model.
-    :param cached: share of it that is kept there.
+    :param reading: uncached part, in tokens of the largest model.
+    :param hashes: prefix hashes of the whole prompt.
+    :param tokens: uncached part, in tokens of its own model.
+    :param cached: share of the prompt that is cached there.
     """
 
     reading: float
@@ -43,18 +43,18 @@
 
 
 def incarnation_id(name: str, born: int) -> str:
-    """Give the name of an endpoint's life among gateways.
+    """Return the name of an endpoint's incarnation, as gateways use it in gossip.
 
-    One that starts again under its id knows nothing of before, and nothing that is told
-    of before is true of it.
+    An endpoint that restarts under its id has lost all earlier state, and earlier
+    reports no longer hold for it.
 
-    :param born: its start; 0 if it is not known.
+    :param born: its start time; 0 if unknown.
     """
     return f"{name}@{born}" if born else name
 
 
 class Endpoint:
-    """One life of an endpoint; its numbers are guarded by the directory's lock."""
+    """One incarnation of an endpoint; guarded by the directory's lock."""
 
     __slots__ = (
         "name",
@@ -63,7 +63,7 @@
         "is_over",
         "leave_at",
         "row_leave_at",
-        "told_leave_at",
+        "answer_leave_at",
         "row_gone",
         "lapsed",
         "running",
@@ -72,10 +72,10 @@
         "cache",
         "last_seen_at",
         "sent_at",
-        "looked_at",
+        "checked_at",
         "is_unreachable",
-        "doubters",
-        "doubted_at",
+        "suspected_by",
+        "suspected_at",
         "ejected_until",
         "pause_s",
         "probe_in_flight",
@@ -89,81 +89,81 @@
         self.name = name
         self.incarnation = incarnation_id(name, row.born)
         self.row = row
-        # Whether it has started again since.
+        # Whether the endpoint has restarted since.
         self.is_over = False
-        # When it stops being used, ``NEVER`` while it is not leaving: the earlier of
-        # what its row and its answers say.
+        # When to stop using it, by its row and by its answers, and the earlier of both;
+        # ``NEVER`` while it is not leaving.
         self.leave_at = clock.NEVER
         self.row_leave_at = clock.NEVER
-        self.told_leave_at = clock.NEVER
+        self.answer_leave_at = clock.NEVER
         # Whether its row is missing from the store.
         self.row_gone = False
-        # Whether its row likely lapsed while the store was away.
+        # Whether its row probably expired while the store was unavailable.
         self.lapsed = False
-        # Requests of ours, and of other gateways by their names.
+        # Requests of this gateway, and load of peers by gateway name.
         self.running = 0
         self.others: dict[str, Load] = {}
-        # The prompts of all gateways that it has not read yet.
+        # Prefill backlog from all gateways.
         self.backlog = backlog.Backlog()
-        # The parts of prompts that it likely keeps.
+        # Estimated contents of its prefix cache.
         self.cache = prefix_cache.PrefixCache()
-        # When bytes last came from it, and when the oldest unanswered send was.
+        # When bytes last arrived from it, and when it last got a request while idle.
         self.last_seen_at = 0.0
         self.sent_at = 0.0
-        # When a silent endpoint was last looked at, and whether it took no connection.
-        self.looked_at = 0.0
+        # When its connection was last checked, and whether it refused.
+        self.checked_at = 0.0
         self.is_unreachable = False
-        # The gateways that find it dark, and since when the first of them does.
-        self.doubters: set[str] = set()
-        self.doubted_at = 0.0
-        # Set aside until then; the next pause, and whether a trial request is out.
+        # Peers that report it as unreachable, and when the first report came.
+        self.suspected_by: set[str] = set()
+        self.suspected_at = 0.0
+        # End of the ejection, length of the next one, and whether a probe is out.
         self.ejected_until = 0.0
-        self.pause_s = FIRST_PAUSE_S
+        self.pause_s = FIRST_EJECTION_S
         self.probe_in_flight = False
         self.answers = 0
         self.failure_rate = 0.0
-        # From when on it bears its whole load, and before that the earliest moment for
-        # our next send (``warm_up``).
+        # When it has warmed up, and until then the earliest time for this gateway's
+        # next send (``warm_up``).
         self.warm_at = 0.0
         self.next_send_at = 0.0
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and port."""
+        """IP address and port."""
         return self.row.host, self.row.port
 
     def leave_by_row(self, at: float) -> None:
-        """Take from its row when to stop using it; ``NEVER`` if it stays."""
+        """Set by its row when to stop using it; ``NEVER`` if it stays."""
         self.row_leave_at = at
-        self.leave_at = min(at, self.told_leave_at)
+        self.leave_at = min(at, self.answer_leave_at)
 
     def leave_by_answer(self, at: float) -> None:
-        """Take from its answers when to stop using it; ``NEVER`` if it stays."""
-        self.told_leave_at = at
+        """Set by its answers when to stop using it; ``NEVER`` if it stays."""
+        self.answer_leave_at = at
         self.leave_at = min(at, self.row_leave_at)
 
     @property
     def stays(self) -> bool:
-        """Whether it is not leaving, so far as is known; a row may have lapsed."""
-        is_back_soon = self.lapsed and self.told_leave_at == clock.NEVER
+        """Whether it is not known to leave; an expired row alone does not count."""
+        is_back_soon = self.lapsed and self.answer_leave_at == clock.NEVER
         return self.leave_at == clock.NEVER or is_back_soon
 
     @property
     def load(self) -> int:
-        """Requests that all gateways together have there."""
+        """Requests of all gateways together."""
         return self.running + sum(load.running for load in self.others.values())
 
     @property
     def is_suspected(self) -> bool:
-        """Whether others find it dark and it has told us nothing since."""
-        return bool(self.doubters) and self.last_seen_at < self.doubted_at
+        """Whether peers report it as unreachable and it has sent nothing since."""
+        return bool(self.suspected_by) and self.last_seen_at < self.suspected_at
 
-    def is_known_dark(self, now: float) -> bool:
-        """Whether it took no connection a moment ago, so that it is not tried again."""
-        return self.is_unreachable and now < self.looked_at + LOOK_EVERY_S
+    def refused_lately(self, now: float) -> bool:
+        """Whether it refused a connection too recently to be tried again."""
+        return self.is_unreachable and now < self.checked_at + CHECK_INTERVAL_S
 
     def silent(self, now: float) -> bool:
-        """Whether it has requests of ours and says nothing."""
+        """Whether it has requests of this gateway and sends nothing."""
         return (
             self.running > 0 and now - max(self.last_seen_at, self.sent_at) > SILENT_S
         )
@@ -171,10 +171,10 @@
     def prompt(
         self, hashes: list[prefix_cache.PrefixHash], tokens: int, weight: float
     ) -> Prompt:
-        """Give what a request would make it read.
+        """Return the prefill work that a request would cause.
 
-        :param tokens: of the whole prompt.
-        :param weight: the work of the model's token, that of the largest being 1.
+        :param tokens: length of the whole prompt.
+        :param weight: cost of the model's token relative to the largest model's.
         """
         to_read = max(0, tokens - self.cache.cached(hashes))
         cached = 1.0 - to_read / tokens if tokens else 0.0
--- a/gaprock/rate_limits.py
+++ b/gaprock/rate_limits.py
@@ -1,11 +1,11 @@
-"""Rate limits that endpoints name: which hold, and by whose word.
-
-An endpoint in need names in its answers how many requests a second it takes from all
-gateways together, for as long as it says so.  Answers overtake each other, so a doubt
-about their order falls in the endpoint's favour: a lower limit counts as soon as it is
-heard, a higher one or the end of one only where the request that it answers was sent
-after the last naming had come.  For the same reason a naming is as old as its coming,
-and an end as old as the sending of its request.
+"""Rate limits that endpoints announce: which ones apply, and who reported them.
+
+An overloaded endpoint announces in its answers how many requests per second it takes
+from all gateways together; the limit applies while its answers repeat it.  Answers can
+overtake each other, so if their order is unclear the stricter limit applies: a lower
+limit applies as soon as it arrives, a higher one or the end of one only if the answered
+request was sent after the last announcement arrived.  For the same reason an
+announcement is dated by its arrival, and an end by the sending of its request.
 """
 
 import threading
@@ -15,27 +15,27 @@
 
 from gaprock import clock, endpoint_state, eventlog, gateway_api
 
-# How long an end is remembered, so that older word of a limit does not bring it back,
-# seconds; also how long the limit of an endpoint that is not there is kept.
+# How long the end of a limit is remembered, so that older reports do not revive it;
+# also how long the limit of a missing endpoint is kept.
 KEEP_S: typing.Final = 10.0
-# What stands in place of a limit and is none is logged so often, seconds.
-LOG_ODD_S: typing.Final = 10.0
-# Word of two gateways that is not further apart is of the same moment, seconds: beats
-# take a while, and what was told must not grow newer by being told back.
-SAME_S: typing.Final = 0.3
-# Limits that a beat tells, those that are wanted most.
-MOST_TOLD: typing.Final = 40
-# Stands for an end in what is told.
+# Least interval between log lines about an invalid limit of an endpoint.
+INVALID_LOG_INTERVAL_S: typing.Final = 10.0
+# Reports whose times differ by no more than this count as simultaneous: heartbeats take
+# a while to arrive, and a report must not become newer by being reported back.
+SIMULTANEOUS_S: typing.Final = 0.3
+# Maximum number of limits in a heartbeat; those with the highest demand are sent.
+MAX_GOSSIPED: typing.Final = 40
+# Represents the end of a limit in gossip.
 ENDED: typing.Final = -1.0
 
 
 class LimitNews(msgspec.Struct, array_like=True, frozen=True):
-    """An endpoint's limit, and what the sender wants to send there.
+    """An endpoint's limit and the sender's demand there, as reported by a peer.
 
-    :param endpoint: its life.
-    :param per_s: requests a second; ``ENDED`` for a limit that is over.
-    :param age_s: seconds since that was said.
-    :param wanted_per_s: requests a second.
+    :param endpoint: its incarnation.
+    :param per_s: limit in requests per second; ``ENDED`` if it no longer applies.
+    :param age_s: seconds since the limit was announced or ended.
+    :param wanted_per_s: requests per second that the sender wants to send.
     """
 
     endpoint: str
@@ -45,12 +45,12 @@
 
     @property
     def urgent(self) -> tuple[str, float]:
-        """What everybody must know at once."""
+        """The part whose change all gateways must learn at once."""
         return self.endpoint, self.per_s
 
 
 class _Limit:
-    """What is known of an endpoint's limit; ``per_s`` is ``None`` once it ended."""
+    """The limit of an endpoint; ``per_s`` is ``None`` once it ended."""
 
     __slots__ = ("per_s", "as_of")
 
@@ -60,12 +60,12 @@
 
 
 class RateLimits:
-    """The limits of all endpoints by their lives; safe for all threads.
+    """The limits of all endpoints, by incarnation; thread-safe.
 
-    :param gateways: gives how many share a limit, for the log.
+    :param gateways: returns how many gateways share a limit, for the log.
     """
 
-    __slots__ = ("_clock", "_gateways", "_lock", "_known", "_odd_at")
+    __slots__ = ("_clock", "_gateways", "_lock", "_known", "_invalid_logged_at")
 
     def __init__(
         self, clock_: clock.Clock, gateways: typing.Callable[[], int] = lambda: 1
@@ -74,8 +74,8 @@
         self._gateways = gateways
         self._lock = threading.Lock()
         self._known: dict[str, _Limit] = {}
-        # When an odd limit of an endpoint was last logged, by its life.
-        self._odd_at: dict[str, float] = {}
+        # When an invalid limit was last logged, by incarnation.
+        self._invalid_logged_at: dict[str, float] = {}
 
     def note_answer(
         self,
@@ -83,12 +83,12 @@
         notice: gateway_api.LimitNotice,
         sent_at: float,
     ) -> None:
-        """Take what the head of an answer says, or that it says nothing.
+        """Apply the limit in the head of an answer, or its absence.
 
-        :param sent_at: when the request was sent that it answers.
+        :param sent_at: when the answered request was sent.
         """
         if notice.odd:
-            self._note_odd(endpoint, notice.odd)
+            self._log_invalid(endpoint, notice.odd)
             return
         with self._lock:
             known = self._known.get(endpoint.incarnation)
@@ -103,7 +103,7 @@
     def _set(
         self, incarnation: str, per_s: float | None, as_of: float, source: str
     ) -> None:
-        """Take what holds now."""
+        """Set the limit that applies now."""
         known = self._known.get(incarnation)
         before = known.per_s if known is not None else None
         self._known[incarnation] = _Limit(per_s, as_of)
@@ -119,12 +119,12 @@
             gateways=self._gateways(),
         )
 
-    # -- What gateways tell each other --
+    # -- Gossip --
 
     def news(self, wanted: dict[str, float]) -> list[LimitNews]:
-        """Give what is known.
+        """Return the limits to report to peers, and those that ended lately.
 
-        :param wanted: requests a second that we want to send, by endpoint.
+        :param wanted: demand of this gateway in requests per second, by incarnation.
         """
         if self.is_empty:
             return []
@@ -140,14 +140,14 @@
                 for incarnation, known in self._known.items()
             ]
         news.sort(key=lambda one: (-one.wanted_per_s, one.endpoint))
-        return news[:MOST_TOLD]
+        return news[:MAX_GOSSIPED]
 
     def record_news(
         self, sender: str, news: list[LimitNews], age_s: float = 0.0
     ) -> None:
-        """Take what another gateway, or a hall's carrier, tells.
+        """Apply limits that a peer, or a hall's relay, reports.
 
-        :param age_s: how long the news were on their way, seconds.
+        :param age_s: time that the message was on its way.
         """
         now = self._clock.now() - age_s
         with self._lock:
@@ -158,39 +158,43 @@
     def _merge(
         self, incarnation: str, per_s: float | None, as_of: float, sender: str
     ) -> None:
-        """Take what is newer, and of word of the same moment the lower limit."""
+        """Apply a newer report; of simultaneous ones, the lower limit wins."""
         known = self._known.get(incarnation)
         if known is None:
             if per_s is not None:
                 self._set(incarnation, per_s, as_of, sender)
             return
-        is_newer = as_of > known.as_of + SAME_S
-        is_same = abs(as_of - known.as_of) <= SAME_S
+        is_newer = as_of > known.as_of + SIMULTANEOUS_S
+        is_same = abs(as_of - known.as_of) <= SIMULTANEOUS_S
         if is_newer:
             self._set(incarnation, per_s, as_of, sender)
         elif is_same and _is_lower(per_s, known.per_s):
             self._set(incarnation, per_s, known.as_of, sender)
 
-    def _note_odd(self, endpoint: endpoint_state.Endpoint, text: str) -> None:
+    def _log_invalid(self, endpoint: endpoint_state.Endpoint, text: str) -> None:
         now = self._clock.now()
         with self._lock:
-            if now < self._odd_at.get(endpoint.incarnation, -clock.NEVER) + LOG_ODD_S:
+            if (
+                now
+                < self._invalid_logged_at.get(endpoint.incarnation, -clock.NEVER)
+                + INVALID_LOG_INTERVAL_S
+            ):
                 return
-            self._odd_at[endpoint.incarnation] = now
+            self._invalid_logged_at[endpoint.incarnation] = now
         eventlog.warning("endpoint-limit-odd", endpoint=endpoint.name, text=text)
 
     def limit(self, incarnation: str) -> float | None:
-        """Give the requests a second that an endpoint takes; ``None`` for any."""
+        """Return the limit in requests per second; ``None`` if there is none."""
         known = self._known.get(incarnation)
         return known.per_s if known is not None else None
 
     @property
     def is_empty(self) -> bool:
-        """Whether no endpoint names a limit, as on most days."""
+        """Whether no limit is known, as most of the time."""
         return not self._known
 
     def lives(self) -> list[str]:
-        """Give the endpoints that name a limit."""
+        """Return the incarnations with a limit."""
         with self._lock:
             return [
                 incarnation
@@ -199,9 +203,9 @@
             ]
 
     def forget_old(self, lives: typing.Container[str]) -> None:
-        """Drop what has ended, and endpoints that are not there.
+        """Remove limits that ended, and those of missing endpoints.
 
-        :param lives: those that are there.
+        :param lives: the current endpoint incarnations.
         """
         before = self._clock.now() - KEEP_S
         with self._lock:
@@ -209,18 +213,18 @@
                 is_over = known.per_s is None or incarnation not in lives
                 if is_over and known.as_of < before:
                     del self._known[incarnation]
-            for incarnation, at in list(self._odd_at.items()):
+            for incarnation, at in list(self._invalid_logged_at.items()):
                 if at < before:
-                    del self._odd_at[incarnation]
+                    del self._invalid_logged_at[incarnation]
 
 
 def _is_lower(per_s: float | None, than: float | None) -> bool:
-    """Whether a limit allows less than another one; ``None`` allows all."""
+    """Whether a limit is stricter than another one; ``None`` means no limit."""
     return per_s is not None and (than is None or per_s < than)
 
 
 def _relaxes(known: _Limit | None, per_s: float | None) -> bool:
-    """Whether a naming allows more than what is known."""
+    """Whether an announcement allows more than the known limit."""
     if known is None or known.per_s is None:
         return per_s is None
     return per_s is None or per_s > known.per_s
--- a/gaprock/test/limitcase.py
+++ b/gaprock/test/limitcase.py
@@ -1,4 +1,4 @@
-"""Endpoints that say something of themselves, behind several gateways."""
+"""Test case: endpoints that send notices, behind several gateways."""
 
 import contextlib
 import threading
@@ -9,27 +9,27 @@
 from gaprock.test import gatewayfleet, gatewaysite
 from gaprock.test.fakes import backend
 
-# Any span of this length counts, seconds.
+# Length of the sliding window in which arrivals are counted.
 WINDOW_S: typing.Final = 4.0
 ENDPOINTS: typing.Final = 3
-# Pause of a caller between two requests, seconds.
+# Pause of a caller between two requests.
 CALLER_PAUSE_S: typing.Final = 0.01
 
 
 class Endpoint:
-    """An endpoint, one in each hall, that says of itself what it is told to."""
+    """An endpoint that sends the notices that a test sets; one in each hall."""
 
     def __init__(
         self, site: gatewaysite.GatewaySite, name: str, service: str, hall: str
     ) -> None:
         self.arrivals: list[float] = []
-        # What it says of its limit; empty for nothing.
+        # The rate limit that it announces; empty for none.
         self.limit = ""
         self.is_leaving = False
-        # Seconds of the backoff with which it sheds all load; empty while it does not.
+        # Backoff in seconds with which it sheds all load; empty while it sheds none.
         self.backoff = ""
-        # When it first said so in an answer.
-        self.said_at = float("inf")
+        # When it first announced a departure or backoff in an answer.
+        self.announced_at = float("inf")
         self.confidence = "90"
         self.fake = site.backends[name] = backend.Backend(name)
         self.fake.usual = self._answer
@@ -45,7 +45,7 @@
             "Server_Leaving": "1" if self.is_leaving else "",
         }
         if self.is_leaving or self.backoff:
-            self.said_at = min(self.said_at, now)
+            self.announced_at = min(self.announced_at, now)
         if self.backoff:
             says |= {"Retry_After": self.backoff, "X_Not_Run": "1"}
             conn.sendall(backend.head(seen, 503, b"", X_Server_Stamp="", **says))
@@ -64,17 +64,17 @@
         conn.sendall(start + backend.chunk(backend.event(1)) + b"0\r\n\r\n")
 
     def between(self, since: float, until: float) -> int:
-        """Give the arrivals between two moments."""
+        """Count the arrivals between two times."""
         return sum(since <= at < until for at in self.arrivals)
 
-    def most_since(self, since: float) -> int:
-        """Give the most arrivals in a window that begins after a moment."""
+    def peak_since(self, since: float) -> int:
+        """Return the most arrivals in a window that begins after a given time."""
         counted = [at for at in self.arrivals if at >= since]
         return spans.most_within(counted, WINDOW_S)
 
 
 class Fleet(gatewayfleet.Fleet):
-    """Gateways and endpoints, one of each in a hall."""
+    """Gateways and endpoints, one of each per hall."""
 
     def start_endpoints(self, stack: contextlib.ExitStack) -> int:
         self.endpoints = [
@@ -86,7 +86,7 @@
     def send_continuously(
         self, numbers: typing.Iterable[int], seconds: float
     ) -> list[int]:
-        """Have callers send to some gateways all the time; give the statuses."""
+        """Have one caller per listed gateway send all the time; return the statuses."""
         until = time.monotonic() + seconds
         statuses: list[int] = []
 
--- a/gaprock/test/testbackoffs.py
+++ b/gaprock/test/testbackoffs.py
@@ -1,4 +1,4 @@
-"""Endpoints that shed load and ask for a backoff."""
+"""Tests of backoffs: endpoints that shed load and ask for no more requests."""
 
 import random
 import socket
@@ -14,7 +14,7 @@
 from gaprock.test import callcase, gatewaysite, limitcase
 from gaprock.test.fakes import backend
 
-# What was sent before the refusal came may arrive so long after it, seconds.
+# Requests sent before the refusal may still arrive within this time.
 ON_WAY_S: typing.Final = 0.5
 KINDS = pytest.mark.parametrize("kind", ["safe", "gen"])
 SERVICE: typing.Final = "app"
@@ -28,7 +28,7 @@
 
 
 class Book:
-    """A gateway's endpoints, with answers at moments that a test chooses."""
+    """A gateway's endpoints, with answers at times that a test chooses."""
 
     def __init__(self, seed: int = 1) -> None:
         self.time = clock.ManualClock(100.0)
@@ -62,16 +62,16 @@
         return not self.directory.claim_send(self.one)
 
     def send_all(self) -> int:
-        """Send all that may go out now, a hundred at most."""
+        """Send all that may go out now, at most a hundred; return the count."""
         return sum(self.send() for _ in range(100))
 
     def pass_end(self, backoff_s: float) -> None:
-        """Let the time pass after which the first send may go out."""
-        spread_s = min(backoffs.SPREAD_MOST_S, backoffs.SPREAD_SHARE * backoff_s)
+        """Advance the clock until the first send may go out."""
+        spread_s = min(backoffs.MAX_JITTER_S, backoffs.JITTER_SHARE * backoff_s)
         self.time.advance(backoff_s + spread_s)
 
 
-# -- How long it lasts --
+# -- Duration --
 
 
 def test_an_endpoint_gets_nothing_until_the_end_of_its_backoff() -> None:
@@ -98,7 +98,7 @@
     assert not book.send()
 
 
-def test_a_longer_word_that_comes_later_prolongs_a_backoff() -> None:
+def test_a_later_longer_refusal_extends_a_backoff() -> None:
     book = Book()
     book.refuse(1.0)
     book.time.advance(0.5)
@@ -116,7 +116,7 @@
     assert not book.send()
 
 
-def test_another_life_begins_without() -> None:
+def test_a_new_incarnation_starts_without_a_backoff() -> None:
     book = Book()
     book.refuse(3.0)
     book.directory.update("e", row(born=2))
@@ -159,10 +159,10 @@
         until = max(until, book.time.now() + backoff_s)
 
 
-# -- Its end --
+# -- Recovery after the end --
 
 
-def test_the_end_lets_one_send_out_and_each_answer_two_more() -> None:
+def test_sends_resume_with_one_and_each_answer_allows_two_more() -> None:
     book = Book()
     book.refuse(3.0)
     book.pass_end(3.0)
@@ -190,7 +190,7 @@
     assert book.books.is_empty
 
 
-def test_an_end_after_which_nothing_is_answered_tries_one_at_a_time() -> None:
+def test_without_answers_one_send_at_a_time_goes_out_after_the_end() -> None:
     book = Book()
     book.refuse(3.0)
     book.pass_end(3.0)
@@ -212,7 +212,7 @@
     assert book.books.asked == 2
 
 
-def test_what_nobody_sends_to_any_more_is_forgotten() -> None:
+def test_an_unused_backoff_is_forgotten() -> None:
     book = Book()
     book.refuse(3.0)
     book.pass_end(3.0)
@@ -231,14 +231,14 @@
     assert max(began) - min(began) > 0.3
 
 
-# -- How far endpoints are filled afterwards --
+# -- Load cap afterwards --
 
 
 def fill(endpoint: endpoint_state.Endpoint, load: int) -> None:
     endpoint.others["others"] = endpoint_state.Load(load, 0)
 
 
-def bring_back(book: Book) -> None:
+def complete_recovery(book: Book) -> None:
     fill(book.one, 0)
     book.pass_end(3.0)
     for _ in range(SLOTS):
@@ -251,10 +251,10 @@
     load_then: int, cap: int
 ) -> None:
     book = Book()
-    # The one that it turned away counts too.
+    # The refused request is counted too.
     fill(book.one, load_then + 1)
     book.refuse(3.0)
-    bring_back(book)
+    complete_recovery(book)
     fill(book.one, cap)
     assert book.is_usable
     fill(book.one, cap + 1)
@@ -295,7 +295,7 @@
 def test_endpoints_that_shed_when_full_do_not_all_go_away_for_good(
     endpoints: int, gateways: int, load: float
 ) -> None:
-    """``bench.shed`` prints the figures of each way."""
+    """Compare the figures that ``bench.shed`` prints for each strategy."""
     play = shed.Play(endpoints, gateways, load, "own")
     play.run()
     assert play.unheeded == 0
@@ -303,7 +303,7 @@
     assert play.recovers_s < shed.END_AT - shed.CALM_AT - 1.0
 
 
-# -- The whole path --
+# -- End to end --
 
 
 @KINDS
@@ -316,7 +316,7 @@
         shedding.confidence = "5"
         shedding.backoff = "2"
         statuses = fleet.send_continuously([0] * 4, 1.9)
-        asked_at = shedding.said_at
+        asked_at = shedding.announced_at
         assert asked_at < float("inf")
         assert shedding.between(asked_at + ON_WAY_S, asked_at + 2.0) <= 2
         assert set(statuses) == {200}
@@ -344,7 +344,7 @@
     with limitcase.Fleet(1, kind) as fleet:
         for one in fleet.endpoints:
             one.backoff = "5"
-        # Each of them is asked once.
+        # Each of them gets one request.
         fleet.send_continuously([0], 0.3)
         arrivals = sum(len(one.arrivals) for one in fleet.endpoints)
         for _ in range(20):
--- a/gaprock/test/testdepartures.py
+++ b/gaprock/test/testdepartures.py
@@ -1,4 +1,4 @@
-"""Endpoints that say in their answers that they leave."""
+"""Tests of departures: endpoints that announce in answers that they leave."""
 
 import socket
 import typing
@@ -35,7 +35,7 @@
 
 
 class Book:
-    """A gateway's endpoints, with answers at moments that a test chooses."""
+    """A gateway's endpoints, with answers at times that a test chooses."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock(100.0)
@@ -53,7 +53,7 @@
         status: int = 200,
         **more: typing.Any,
     ) -> None:
-        """Take an answer to a request that was sent so many seconds ago."""
+        """Apply an answer to a request that was sent ``sent_s`` ago."""
         notice = LEAVING if is_leaving else gateway_api.NO_NOTICE
         head = callcase.head(status, notice=notice, **more)
         self.directory.note_answer(self.one, head, self.time.now() - sent_s)
@@ -67,7 +67,7 @@
         return not self.directory.claim_send(self.one)
 
 
-# -- How long it is used --
+# -- Use of a leaving endpoint --
 
 
 def test_an_endpoint_that_leaves_gets_nothing_after_half_of_the_drain_time() -> None:
@@ -79,7 +79,7 @@
     assert not book.is_usable and not book.may_send
 
 
-def test_a_send_chosen_in_time_is_stopped_at_its_last_look() -> None:
+def test_a_send_chosen_in_time_is_stopped_at_its_last_check() -> None:
     book = Book()
     book.answer(True)
     chosen = book.directory.usable(SERVICE, set())[0]
@@ -95,7 +95,7 @@
     assert not book.may_send
 
 
-def test_one_that_stays_goes_before_one_that_leaves() -> None:
+def test_an_endpoint_that_stays_is_preferred_to_one_that_leaves() -> None:
     book = Book()
     book.directory.update("other", row())
     book.answer(True)
@@ -103,7 +103,7 @@
 
 
 def test_the_last_one_that_fits_is_used_though_others_stay() -> None:
-    """A session's version, or a region, may have no other."""
+    """It may be the only one of a session's version, or of a permitted region."""
     book = Book()
     book.directory.update("other", row(version="v2"))
     book.answer(True)
@@ -117,7 +117,7 @@
     assert book.one not in book.directory.usable(SERVICE, set(), None, fits)
 
 
-# -- What takes it back --
+# -- End of a departure --
 
 
 @pytest.mark.parametrize("is_whole", [False, True])
@@ -161,7 +161,7 @@
     assert book.may_send
 
 
-def test_another_life_begins_without() -> None:
+def test_a_new_incarnation_starts_without_a_departure() -> None:
     book = Book()
     book.answer(True)
     book.directory.update("e", row(born=2))
@@ -179,7 +179,7 @@
     assert book.one.leave_at == clock.NEVER
 
 
-def test_whoever_has_the_address_now_takes_no_departure_back() -> None:
+def test_another_endpoint_at_the_address_does_not_cancel_a_departure() -> None:
     book = Book()
     book.answer(True)
     book.time.advance(0.2)
@@ -210,7 +210,7 @@
             assert now - took_s > word_at
 
 
-# -- What gateways tell each other --
+# -- Gossip --
 
 
 def leaving_at(fleet: fleetcase.Fleet) -> set[float]:
@@ -242,8 +242,8 @@
     took_s = fleet.run(3.0, until=lambda: clock.NEVER not in leaving_at(fleet))
     assert took_s <= USED_S
     fleet.run(10.0)
-    # The ages that beats tell lack the beats' way.
-    late_s = departures.SAME_S
+    # Ages in heartbeats do not include the time that the heartbeat was on its way.
+    late_s = departures.SIMULTANEOUS_S
     assert all(
         told_at + USED_S <= at <= told_at + USED_S + late_s for at in leaving_at(fleet)
     )
@@ -275,7 +275,7 @@
     assert late.directory.claim_send(one) == "leaving"
 
 
-def test_one_that_was_frozen_stops_at_once() -> None:
+def test_a_gateway_that_was_frozen_stops_sending_at_once() -> None:
     fleet = start_fleet(1, 3)
     frozen = fleet.members[0]
     say_leaving(frozen)
@@ -285,7 +285,7 @@
     assert frozen.directory.claim_send(frozen.directory._endpoints["e"]) == "leaving"
 
 
-def test_departures_that_rows_tell_are_not_told_again() -> None:
+def test_departures_that_rows_show_are_not_gossiped() -> None:
     fleet = start_fleet(1, 2)
     say_leaving(fleet.members[0])
     assert len(fleet.members[0].directory.departure_news()) == 1
@@ -293,7 +293,7 @@
     assert fleet.members[0].directory.departure_news() == []
 
 
-# -- The whole path --
+# -- End to end --
 
 
 @KINDS
@@ -301,14 +301,14 @@
     kind: str,
 ) -> None:
     with limitcase.Fleet(3, kind) as fleet:
-        # Models climb: each request is two sends.
+        # Low confidence escalates: each request is two sends.
         fleet.endpoints[0].confidence = "5"
         fleet.send_continuously([0, 1, 2], 0.3)
         leaving = fleet.endpoints[0]
         leaving.is_leaving = True
         drain_s = fleet.site.cfg.bounds.drain_s
         statuses = fleet.send_continuously([0, 0, 1, 2], drain_s + 1.5)
-        told_at = leaving.said_at
+        told_at = leaving.announced_at
         assert told_at < float("inf")
         assert leaving.between(told_at + drain_s, float("inf")) == 0
         assert set(statuses) == {200}
@@ -346,14 +346,14 @@
 
 
 @pytest.mark.parametrize("name", [*SPEAKING, *SILENT])
-def test_which_answers_tell_of_a_departure(
+def test_which_answers_announce_a_departure(
     site: gatewaysite.GatewaySite, name: str
 ) -> None:
     fake = site.add(name, "app")
     fake.scripts.append((SPEAKING | SILENT)[name])
     site.call("/unsafe/x")
     one = site.gateway.directory._endpoints[name]
-    assert (one.told_leave_at < clock.NEVER) is (name in SPEAKING)
+    assert (one.answer_leave_at < clock.NEVER) is (name in SPEAKING)
     site.store.remove("servers", name)
     gatewaysite.wait_until(lambda: name not in site.known("app"), "it is gone")
 
--- a/gaprock/test/testemptied.py
+++ b/gaprock/test/testemptied.py
@@ -1,4 +1,4 @@
-"""Halls that an operator empties, and requests that may run in some regions alone."""
+"""Tests of cordoned halls, and of requests restricted to some regions."""
 
 import socket
 import threading
@@ -30,7 +30,7 @@
 
 
 class Orders:
-    """The operator's rows as they come to one gateway."""
+    """The operator's rows as one gateway receives them."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock(100.0)
@@ -47,26 +47,26 @@
     def take(
         self, *rows: tuple[str, bytes | None, int], whole: bool = False
     ) -> set[str]:
-        """Take rows; give the endpoints that may be used then."""
+        """Apply rows; return the names of the endpoints that are usable then."""
         page = gateway_api.Page([gateway_api.Row(*row) for row in rows], 9, 0.0)
         self.rows.apply_page(page, whole)
         return {e.name for e in self.directory.usable(SERVICE, set())}
 
 
-# -- The order --
+# -- Cordon order --
 
 
 def test_an_order_stands_until_its_row_goes() -> None:
     orders = Orders()
     assert orders.take(("evacuate/h1", b"{}", 5)) == {"b"}
-    # Other changes, and the same row again, end nothing.
+    # Other changes, and the same row again, do not end the order.
     assert orders.take(("rollout/x", None, 6)) == {"b"}
     assert orders.take(("evacuate/h1", b"{}", 7)) == {"b"}
     assert orders.take(("evacuate/h1", None, 8)) == {"a", "b"}
 
 
 def test_a_whole_table_without_the_row_ends_the_order() -> None:
-    """The row may go while the store's history is dropped."""
+    """The row may be removed while the store's change history is truncated."""
     orders = Orders()
     assert orders.take(("evacuate/h1", b"{}", 5), whole=True) == {"b"}
     assert orders.take(whole=True) == {"a", "b"}
@@ -76,14 +76,14 @@
     assert Orders().take(("evacuate/h1", b"not JSON", 5)) == {"b"}
 
 
-def test_two_halls_are_emptied_and_taken_back_by_turns() -> None:
+def test_two_halls_are_cordoned_and_uncordoned_in_turn() -> None:
     orders = Orders()
     assert orders.take(("evacuate/h1", b"{}", 5), ("evacuate/h2", b"{}", 5)) == set()
     assert orders.take(("evacuate/h1", None, 6)) == {"a"}
     assert orders.take(("evacuate/h2", None, 7)) == {"a", "b"}
 
 
-def test_an_endpoint_that_comes_while_its_hall_is_emptied_gets_nothing() -> None:
+def test_an_endpoint_that_comes_while_its_hall_is_cordoned_gets_nothing() -> None:
     orders = Orders()
     orders.take(("evacuate/h1", b"{}", 5))
     row = gateway_api.EndpointRow(SERVICE, "10.0.0.1", 2, "h1", "v1", 8, False)
@@ -99,11 +99,11 @@
     assert orders.directory.claim_send(chosen)
 
 
-# -- The whole path --
+# -- End to end --
 
 
 def empty(site: gatewaysite.GatewaySite, *halls: str) -> None:
-    """Order halls to be emptied, and wait until that is in force."""
+    """Cordon halls, and wait until that is in force."""
     for hall in halls:
         site.store.put("op", f"evacuate/{hall}", {})
     gatewaysite.wait_until(
@@ -111,8 +111,8 @@
     )
 
 
-def test_an_emptied_hall_gets_no_way_of_sending() -> None:
-    """First sends, second sends and climbs, while another hall has an endpoint."""
+def test_a_cordoned_hall_gets_no_sends_of_any_kind() -> None:
+    """First sends, second sends and escalations, with an endpoint in another hall."""
     with gatewaysite.GatewaySite() as site:
         gone = site.add("gone", "llm", Zone="h1")
         left = site.add("left", "llm", Zone="h2")
@@ -131,7 +131,7 @@
 
 
 def stream_when(released: threading.Event) -> backend.Script:
-    """Stream one event, and the rest once it is released."""
+    """Stream one event, and the rest once ``released`` is set."""
 
     def script(fake: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
         start = backend.head(
@@ -147,7 +147,7 @@
     return script
 
 
-def test_a_stream_that_runs_in_an_emptied_hall_ends_well() -> None:
+def test_a_stream_that_runs_in_a_cordoned_hall_ends_well() -> None:
     with gatewaysite.GatewaySite() as site:
         fake = site.add("e", "llm", Zone="h1")
         released = threading.Event()
@@ -221,7 +221,7 @@
 def test_regions_of_the_route_and_of_the_workspace_both_bind(
     homes: frozenset[str], own: frozenset[str], emptied: frozenset[str]
 ) -> None:
-    """``h4`` stands in a region that the settings do not name."""
+    """The settings name no region for ``h4``."""
     time = clock.ManualClock(100.0)
     book = directory.Directory(time, 2.0)
     for hall in ("h1", "h2", "h3", "h4"):
--- a/gaprock/test/testgone.py
+++ b/gaprock/test/testgone.py
@@ -1,4 +1,4 @@
-"""Services of which all endpoints, or all but one, are gone."""
+"""Tests of services of which all endpoints, or all but one, are gone."""
 
 import random
 import typing
@@ -25,7 +25,7 @@
 )
 from gaprock.test import callcase, gatewaysite
 
-# -- The whole path --
+# -- End to end --
 
 
 @pytest.mark.parametrize("target", ["/safe/x", "/unsafe/x"])
@@ -49,11 +49,11 @@
         assert site.call("/safe/x").status == 200
 
 
-# -- What an end says --
+# -- Final error --
 
 
 class Sends:
-    """A sender whose sends end as they are told to."""
+    """A sender whose sends end as scripted."""
 
     def __init__(self, ends: list[str]) -> None:
         self.ends = ends
@@ -71,7 +71,7 @@
 
 
 class Turns:
-    """All endpoints back off until a moment; with none, one takes any number."""
+    """All endpoints back off until a time; without one, sends are unlimited."""
 
     def __init__(self, next_at: float | None) -> None:
         self._next_at = next_at
@@ -83,7 +83,7 @@
 
 
 class Finds(gateway_find.Finder):
-    """Finds an endpoint as long as there are some; ends calls as the product does."""
+    """Finds an endpoint a given number of times, then refuses as in production."""
 
     def __init__(
         self, time: clock.ManualClock, finds: int, next_at: float | None
@@ -105,14 +105,14 @@
 
 
 class Gate:
-    """Holds nothing."""
+    """A quarantine that holds no request."""
 
     def held_s(self, call: gateway_call.Call) -> float:
         return 0.0
 
 
 class Budget:
-    """Has enough."""
+    """A retry budget that is never used up."""
 
     def left(self, service: str, now: float) -> float:
         return 5.0
@@ -122,7 +122,7 @@
 
 
 class Counts:
-    """Counts nothing."""
+    """Metrics that count nothing."""
 
     def __getattr__(self, name: str) -> typing.Any:
         return self
@@ -143,7 +143,7 @@
 def test_what_never_ran_ends_as_not_run_and_nothing_else_does(
     ends: list[str], finds: int, is_safe: bool, next_at: float | None
 ) -> None:
-    """Never sent, or refused by all that were asked: only that may be tried again."""
+    """Only a request never sent, or refused by all endpoints, may be retried."""
     time = clock.ManualClock(100.0)
     server = object.__new__(gateway_serve.Server)
     sends = Sends(list(ends))
@@ -183,7 +183,7 @@
 def test_a_suspected_request_does_not_get_the_last_endpoint(
     ends: int, left: int, count: int, is_spared: bool
 ) -> None:
-    """A service of one endpoint is another matter: nobody would ever be served."""
+    """A service with one endpoint is exempt, since nobody would be served there."""
     time = clock.ManualClock(100.0)
     book = quarantine.Quarantine(time)
     gate = gateway_quarantine.Gate(time, directory.Directory(time, 2.0), book)
@@ -194,7 +194,7 @@
     assert not gate.must_spare(callcase.call(1, "other"), lambda one: (1, 3)) or ends
 
 
-# -- When to come back --
+# -- Retry time --
 
 
 def test_callers_come_back_when_such_an_absence_is_usually_over() -> None:
--- a/gaprock/test/testhalls.py
+++ b/gaprock/test/testhalls.py
@@ -1,4 +1,4 @@
-"""What gateways of many halls tell each other, and through whom."""
+"""Tests of gossip between halls, and of the relays that carry it."""
 
 import random
 import typing
@@ -18,7 +18,8 @@
 )
 from gaprock.test import fleetcase, gatewaysite
 
-# Within which what everybody must know is known, and a carrier passed by, seconds.
+# Time within which urgent state reaches all gateways, and within which a failed relay
+# is bypassed.
 TOLD_S: typing.Final = 0.3
 PASSED_S: typing.Final = 1.0
 SETTLED_S: typing.Final = 4.0
@@ -26,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def large() -> fleetcase.Fleet:
-    """70 gateways in five halls that know each other."""
+    """Return 70 gateways in five halls that know each other."""
     fleet = fleetcase.Fleet(5, 14)
     fleet.run(SETTLED_S)
     return fleet
@@ -39,7 +40,7 @@
 
 
 def count_far(fleet: fleetcase.Fleet, seconds: float = 5.0) -> tuple[float, float]:
-    """Give the messages and bytes a second between halls."""
+    """Return the messages and bytes per second between halls."""
     messages, size = fleet.far_messages, fleet.far_bytes
     fleet.run(seconds)
     return (
@@ -51,7 +52,7 @@
 # -- Cost --
 
 
-def test_two_carriers_of_each_hall_speak_to_the_other_halls(
+def test_two_relays_of_each_hall_speak_to_the_other_halls(
     large: fleetcase.Fleet,
 ) -> None:
     names = sorted(m.name for m in large.hall_relays())
@@ -62,7 +63,8 @@
 def test_traffic_between_halls_grows_with_the_halls_and_not_the_gateways(
     large: fleetcase.Fleet,
 ) -> None:
-    # 80 pairs of carriers and a beat a second; each gateway to each far one: 3,920.
+    # 80 pairs of relays with one heartbeat a second; between all pairs of gateways of
+    # different halls it would be 3,920.
     messages, size = count_far(large)
     assert messages <= 1.1 * 80
     small, small_size = count_far(settled(5, 5))
@@ -82,13 +84,13 @@
 
 
 def test_a_gateway_that_left_the_store_to_others_knows_when_it_came_back() -> None:
-    """Callers' requests reached an endpoint 25 ms after its time to leave was over.
+    """Guard against requests to an endpoint 25 ms after its drain time ended.
 
-    The store was away.  A gateway that leaves it to others asks again up to 5 s after
-    it is back.  It took rows that went in between for ones that had lapsed with the
-    store, whose endpoints are used for longer, as if they had gone just then: by the
-    log of such a day a gateway that asked at 25.8 s took seven rows for lapsed, and one
-    that asked at 29.2 s another one.
+    A gateway that leaves reading the store to others asks it again up to 5 s after an
+    outage.  It took rows removed in between for ones that had expired in the outage,
+    whose endpoints are used for longer, counted from that moment.  In one run a gateway
+    that asked at 25.8 s took seven rows for expired, and one that asked at 29.2 s took
+    another one.
     """
     fleet = settled(2, 3)
     late = fleet.hall("h1")[-1]
@@ -106,11 +108,11 @@
     assert not late.directory._endpoints["e1"].lapsed
 
 
-# -- Reach --
+# -- Delay of urgent state --
 
 
 def reach(fleet: fleetcase.Fleet, by: fleetcase.Member) -> float:
-    """Have a gateway halt the version; give the seconds until all living ones know."""
+    """Have a gateway halt the version; return the time until all live ones know."""
     by.book.halt(fleetcase.SERVICE, 1, "bad answers")
     return fleet.run(3.0, lambda: all(m.rollout.halted for m in fleet.living()))
 
@@ -130,7 +132,7 @@
     assert reach(fleet, rng.choice(fleet.living())) <= TOLD_S
 
 
-def test_a_dark_endpoint_is_known_in_all_halls_at_once() -> None:
+def test_an_unreachable_endpoint_is_known_in_all_halls_at_once() -> None:
     fleet = settled(3, 5)
     finder = fleet.members[-1]
     for member in fleet.members:
@@ -142,11 +144,11 @@
         return all(m.directory._endpoints["e0"].is_suspected for m in others)
 
     assert fleet.run(2.0, is_known) <= TOLD_S
-    # And no more when it is heard again.
+    # Once it answers again, the report is withdrawn.
     finder.directory.heard(finder.directory._endpoints["e0"])
 
     def is_forgotten() -> bool:
-        return not any(m.directory._endpoints["e0"].doubters for m in fleet.members)
+        return not any(m.directory._endpoints["e0"].suspected_by for m in fleet.members)
 
     assert fleet.run(2.0, is_forgotten) <= TOLD_S
 
@@ -186,17 +188,17 @@
     sums = book.sums_since(0, "hall h0", lambda source: source != "g8/x")
     assert sums == [messages.Evidence("hall h0", "v2", 6, 3, 0)]
     assert far.merge(sums) and not far.merge(sums)
-    # Another carrier, that knows less, changes nothing.
+    # Another relay, which knows less, changes nothing.
     assert not far.merge([messages.Evidence("hall h0", "v2", 4, 4, 0)])
     assert far.totals("v2") == evidence.Totals(6, 3, 0)
     assert book.sums_since(tick, "hall h0", lambda source: source != "g8/x") == []
 
 
-# -- Carriers that fail --
+# -- Failed relays --
 
 
 @pytest.mark.parametrize("how", ["dead", "frozen", "mute"])
-def test_carriers_that_fail_are_passed_by(how: str) -> None:
+def test_failed_relays_are_bypassed(how: str) -> None:
     fleet = settled(4, 6)
     lost = fleet.hall("h1")[:2]
     for member in lost:
@@ -208,12 +210,12 @@
     fleet.run(PASSED_S)
     others = {m.name for m in fleet.hall_relays() if m.hall == "h1" and m not in lost}
     assert others == {"gw-h1-002", "gw-h1-003"}
-    # Both ways, and before anybody took the hall for silent.
+    # In both directions, and before any gateway took the hall for silent.
     assert reach(fleet, fleet.hall("h1")[-1]) <= TOLD_S + mesh_peers.BUSY_BEAT_S
     assert all("h1" in m.mesh.halls.hall_relays() for m in fleet.hall("h0"))
 
 
-def test_a_carrier_that_wakes_tells_nothing_old_and_carries_again() -> None:
+def test_a_relay_that_wakes_sends_no_old_state_and_relays_again() -> None:
     fleet = settled(3, 4)
     first = fleet.hall("h0")[0]
     first.is_frozen = True
@@ -235,7 +237,7 @@
     fleet.mute.update(m.name for m in fleet.members)
     fleet.run(120.0)
     assert all(not m.mesh.halls.hall_relays() for m in fleet.members)
-    # Those that spoke for their halls do not come back with the connection.
+    # The former relays do not come back with the connection.
     for hall in ("h0", "h1"):
         for member in fleet.hall(hall)[:2]:
             member.is_dead = True
@@ -244,14 +246,14 @@
     assert all(m.mesh.members() == 2 for m in fleet.living())
 
 
-def test_a_gateway_that_is_spoken_to_and_does_not_carry_names_those_who_do() -> None:
+def test_a_gateway_that_is_no_relay_names_the_relays() -> None:
     fleet = settled(2, 4)
     last = fleet.hall("h1")[-1]
     first = fleet.hall("h0")[0]
     for member in fleet.hall("h0"):
         member.mesh.halls.forget_silent(fleet.time.now() + 60.0)
         for peer in list(member.mesh._far()):
-            # All but the last one's row were lost with the store's answers.
+            # All rows but the last one's were lost with the store's answers.
             if peer.address != last.address:
                 del member.mesh._peers[peer.address]
     for member in fleet.hall("h1"):
@@ -301,11 +303,11 @@
     )
 
 
-def test_a_summary_is_taken_by_its_age_whoever_tells_it() -> None:
+def test_summaries_are_ordered_by_age_whoever_sends_them() -> None:
     fleet = fleetcase.Fleet(1, 1)
     book, now = fleet.members[0].mesh.halls, fleet.time.now()
     book.take(news(0.5, 3), now, False)
-    # One that was put together before it comes later, by another way.
+    # An older one that arrives later, by another path.
     book.take(news(1.0, 9), now + 0.1, True)
     assert book.members() == 3 and book.on_old("llm") == 3
     book.take(news(0.1, 4), now + 0.1, True)
@@ -327,7 +329,7 @@
     assert book.summaries_to_forward(now + 0.3) == []
     book.take(news(0.0, 4, halted=True), now + 0.4, False)
     assert [n.members for n in book.summaries_to_forward(now + 0.4)] == [4]
-    # Another carrier has passed a newer one on.
+    # Another relay has forwarded a newer one.
     book.take(news(0.0, 5), now + 1.3, True)
     assert book.summaries_to_forward(now + 1.3) == []
 
@@ -344,11 +346,11 @@
     assert mesh_plan.targets(peers, {"tcp://4"}, 20.0) == [peers[4]]
 
 
-# -- Bounds that all gateways share --
+# -- Bounds for all gateways together --
 
 
 def test_a_fleet_that_falls_apart_keeps_to_one_allowance_of_repeats() -> None:
-    """Each took itself for alone, and the whole allowance for its own."""
+    """Guard against each gateway taking the whole allowance, believing itself alone."""
     fleet = fleetcase.Fleet(1, 7)
     fleet.run(2.0)
     for member in fleet.members:
--- a/gaprock/test/testleaving.py
+++ b/gaprock/test/testleaving.py
@@ -1,4 +1,4 @@
-"""Leaving endpoints get nothing new, and planned stops cut nothing."""
+"""Leaving endpoints get no new requests, and planned stops cut no streams."""
 
 import itertools
 import threading
@@ -75,8 +75,9 @@
             s.chat()
         assert ran_at(s, "a") == 0
         s.entries[0].publisher.delete("drain/a", s.entries[0].config.revision)
-        # Each with a prompt of its own: the others' would stay at the endpoint that has
-        # it, which goes before an idle one while it is about as quick.
+        # Each request has its own prompt: with the same prompt it would go to the
+        # endpoint that has it in its prefix cache, which is preferred to an idle one
+        # while it is about as fast.
         prompts = (
             [{"role": "user", "content": f"why {number}?"}]
             for number in itertools.count()
@@ -101,7 +102,7 @@
 
 
 class Reader(threading.Thread):
-    """Reads streamed answers to their ends."""
+    """Reads streamed answers to their end."""
 
     def __init__(self, opened: list[answers.Answer]) -> None:
         super().__init__()
--- a/gaprock/test/testlimits.py
+++ b/gaprock/test/testlimits.py
@@ -1,4 +1,4 @@
-"""Rate limits that endpoints name: who knows of them, and what gateways send."""
+"""Tests of rate limits that endpoints announce, and of pacing."""
 
 import functools
 import time
@@ -32,7 +32,7 @@
     return endpoint_state.Endpoint(name, row)
 
 
-# -- What the header says --
+# -- Parsing --
 
 
 def read(*values: bytes) -> gateway_api.LimitNotice:
@@ -51,13 +51,13 @@
     "text",
     [b"", b"-1", b"nan", b"inf", b"1e400", b"2,4", b"2.", b"+3", b"0x2", b"9" * 10_000],
 )
-def test_what_is_no_number_is_no_limit(text: bytes) -> None:
+def test_an_invalid_number_is_no_limit(text: bytes) -> None:
     notice = read(text)
     assert notice.per_s is None
     assert 0 < len(notice.odd) <= notices.MAX_ODD
 
 
-def test_two_limits_are_none() -> None:
+def test_a_repeated_limit_header_is_invalid() -> None:
     assert read(b"2.4", b"2.4").per_s is None
     assert read(b"2.4", b"2.4").odd
 
@@ -70,7 +70,7 @@
     assert bool(values) == (bool(notice.odd) or notice.per_s is not None)
 
 
-# -- Which answer counts --
+# -- Order of answers --
 
 
 def test_a_limit_holds_until_an_answer_to_a_later_request_names_none() -> None:
@@ -99,7 +99,7 @@
     assert limits.limit(one.incarnation) == 5.0
 
 
-def test_a_limit_is_that_of_one_life() -> None:
+def test_a_limit_applies_to_one_incarnation() -> None:
     limits = rate_limits.RateLimits(clock.ManualClock(100.0))
     limits.note_answer(endpoint(born=1), limited_to(2.0), 99.0)
     assert limits.limit(endpoint(born=2).incarnation) is None
@@ -121,7 +121,7 @@
     time = clock.ManualClock(100.0)
     limits = rate_limits.RateLimits(time)
     one = endpoint()
-    # The newest naming, and when it came.
+    # The newest announcement, and when it arrived.
     named: tuple[float | None, float] = (None, 0.0)
     for pause, took, per_s in answers:
         time.advance(pause)
@@ -135,7 +135,7 @@
             named = (per_s, time.now())
 
 
-def test_what_is_over_and_who_is_gone_is_forgotten() -> None:
+def test_ended_limits_and_missing_endpoints_are_forgotten() -> None:
     time = clock.ManualClock(100.0)
     limits = rate_limits.RateLimits(time)
     over, gone, there = endpoint("over"), endpoint("gone"), endpoint("there")
@@ -148,7 +148,7 @@
     assert list(limits._known) == [there.incarnation]
 
 
-# -- How it is divided --
+# -- Shares --
 
 
 @hypothesis.given(
@@ -159,7 +159,7 @@
 def test_the_shares_of_all_are_no_more_than_the_limit(
     per_s: float, wanted: list[float], silent: int
 ) -> None:
-    """Each hears the others; those that are silent keep an equal share."""
+    """Gateways know each other's demand; silent ones keep an equal share."""
     gateways = len(wanted) + silent
     claims = [rate_pacing.Claim(1, each) for each in wanted]
     shares = [
@@ -176,7 +176,7 @@
 
 
 def allowed(per_s: float) -> float:
-    """What the users allow in a window."""
+    """Return the number of sends that is permitted in a window."""
     return 1.5 * per_s * limit_plays.WINDOW_S + 5
 
 
@@ -186,7 +186,7 @@
 def test_no_window_holds_more_than_is_allowed(
     gateways: int, per_s: float, load: str
 ) -> None:
-    """``bench.limits`` prints what there is in the worst one, and the use."""
+    """``bench.limits`` prints the count of the worst window, and the use."""
     play = limit_plays.Play(gateways, per_s, "by-wants", load)
     play.run()
     assert play.worst() <= allowed(per_s)
@@ -202,15 +202,15 @@
     assert one.use() >= 0.7
 
 
-def test_what_nobody_lends_is_not_used() -> None:
-    """Where one gateway of 21 has all callers: 0.05 with equal parts, 0.92 lent."""
+def test_without_lending_most_of_a_limit_is_unused() -> None:
+    """One gateway of 21 has all callers: use is 0.05 without lending, 0.92 with it."""
     play = limit_plays.Play(21, 2.4, "equal", "one")
     play.run()
     assert play.use() < 0.1
 
 
 def trouble(play: limit_plays.Play, kind: str) -> None:
-    """Plan trouble for a play's gateways; every other one is hit."""
+    """Schedule a fault for every other gateway of a play."""
     hit = play.gateways[::2]
 
     def set_all(name: str, value: bool) -> None:
@@ -218,7 +218,7 @@
             setattr(gateway, name, value)
 
     if kind == "added":
-        # A third more than anybody knows of, who hear of a limit by beats alone.
+        # A third more than any gateway knows of; heartbeats alone tell them of limits.
         for number in range(len(play.gateways), 4 * len(play.gateways) // 3):
             added = limit_plays.Gateway(number, play)
             play.at(8.0, functools.partial(play.join, added))
@@ -241,15 +241,15 @@
         assert play.worst() <= allowed(per_s)
 
 
-def test_a_limit_of_none_is_tried_now_and_then() -> None:
-    """Somebody has to hear that it is over."""
+def test_a_limit_of_zero_is_probed() -> None:
+    """Without any request no gateway would learn that the limit ended."""
     play = limit_plays.Play(3, 0.0, "by-wants", "even")
     play.run()
     assert 1 <= len([at for at in play.sends if at > limit_plays.COUNTED_AT])
     assert play.worst() <= allowed(0.0)
 
 
-# -- Who knows --
+# -- Gossip --
 
 
 def limits_of(fleet: fleetcase.Fleet, incarnation: str) -> set[float | None]:
@@ -269,7 +269,7 @@
     other.note_answer(one, NO_LIMIT, fleet.time.now())
     fleet.run(3.0, until=lambda: limits_of(fleet, one.incarnation) == {None})
     assert limits_of(fleet, one.incarnation) == {None}
-    # Nothing old brings it back, and it is forgotten in the end.
+    # No older report revives it, and its end is forgotten after a while.
     fleet.run(rate_limits.KEEP_S + 2.0)
     assert limits_of(fleet, one.incarnation) == {None}
 
@@ -295,8 +295,8 @@
     assert late.directory.pacer.limits.limit(one.incarnation) == 2.4
 
 
-def test_word_of_a_limit_does_not_grow_newer_by_being_told() -> None:
-    """Else an old one would outlive the answer that ends it."""
+def test_a_limit_report_does_not_become_newer_when_relayed() -> None:
+    """Otherwise an old limit would outlive the answer that ends it."""
     fleet = fleetcase.Fleet(2, 3)
     fleet.run(2.0)
     one = endpoint()
@@ -306,15 +306,15 @@
     fleet.run(20.0)
     for member in fleet.members:
         known = member.directory.pacer.limits._known[one.incarnation]
-        assert fleet.time.now() - known.as_of > 20.0 - rate_limits.SAME_S
+        assert fleet.time.now() - known.as_of > 20.0 - rate_limits.SIMULTANEOUS_S
 
 
-# -- The whole path --
+# -- End to end --
 
 
 @pytest.mark.parametrize("kind", ["safe", "gen"])
 def test_an_endpoint_in_need_gets_what_it_names_from_all_gateways(kind: str) -> None:
-    """Each hall's callers press; where models climb, each request is two sends."""
+    """Callers of all halls send all the time; escalations make two sends a request."""
     with limitcase.Fleet(3, kind) as fleet:
         for one in fleet.endpoints:
             one.confidence = "5"
@@ -325,5 +325,5 @@
         fleet.wait_for_gossip()
         told_at = time.monotonic()
         statuses = fleet.send_continuously([0, 0, 1, 2], limitcase.WINDOW_S + 1.0)
-        assert 1 <= in_need.most_since(told_at) <= 2.5 * limitcase.WINDOW_S + 3
+        assert 1 <= in_need.peak_since(told_at) <= 2.5 * limitcase.WINDOW_S + 3
         assert set(statuses) == {200}
--- a/gaprock/test/testnotices.py
+++ b/gaprock/test/testnotices.py
@@ -1,4 +1,4 @@
-"""What answers say of their endpoints, as the adapter reads it."""
+"""Tests of how the adapter parses notices in answers."""
 
 import time
 
@@ -28,12 +28,12 @@
     assert not read(status, (b"Server-Leaving", b"0")).is_leaving
 
 
-def test_a_departure_that_is_said_twice_is_one() -> None:
+def test_a_repeated_leaving_header_counts_once() -> None:
     assert read(200, (b"Server-Leaving", b"1"), (b"Server-Leaving", b"1")).is_leaving
 
 
 @pytest.mark.parametrize("text", [b"", b"yes", b"2", b"1, 1", b"1" * 10_000])
-def test_what_is_no_departure_is_reported(text: bytes) -> None:
+def test_an_invalid_leaving_header_is_reported(text: bytes) -> None:
     notice = read(200, (b"Server-Leaving", text))
     assert not notice.is_leaving
     assert len(notice.odd) == 1
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 301, 421, 500, 502])
-def test_other_answers_ask_for_none(status: int) -> None:
+def test_other_answers_ask_for_no_backoff(status: int) -> None:
     assert backoff(status, b"3") == gateway_api.NO_NOTICE
 
 
@@ -91,14 +91,14 @@
         b"Wed, 99 Oct 2026 07:28:05 GMT",
     ],
 )
-def test_what_is_no_time_is_no_backoff(text: bytes) -> None:
+def test_an_invalid_time_is_no_backoff(text: bytes) -> None:
     notice = backoff(503, text)
     assert notice.backoff_s == 0.0
     assert len(notice.odd) == 1
     assert len(notice.odd[0]) <= notices.MAX_ODD + len("retry-after: ")
 
 
-def test_two_backoffs_are_none() -> None:
+def test_a_repeated_backoff_header_is_invalid() -> None:
     assert backoff(503, b"3", b"3").backoff_s == 0.0
     assert backoff(503, b"3", b"3").odd
 
--- a/gaprock/test/testreborn.py
+++ b/gaprock/test/testreborn.py
@@ -1,4 +1,4 @@
-"""An endpoint starts again under its id: nothing of its earlier life holds."""
+"""Tests of an endpoint that restarts under its id: earlier state is dropped."""
 
 import typing
 
@@ -40,8 +40,8 @@
     return found
 
 
-def live_through(book: directory.Directory) -> endpoint_state.Endpoint:
-    """Have everything that is kept of an endpoint differ from a new one's."""
+def fill_state(book: directory.Directory) -> endpoint_state.Endpoint:
+    """Make all state of an endpoint differ from that of a new one."""
     old = only(book)
     book.begin(old, PROMPT)
     book.read(old, PROMPT)
@@ -56,7 +56,7 @@
 
 
 def state_of(endpoint: endpoint_state.Endpoint) -> dict[str, object]:
-    """Give what is kept of an endpoint, but for its row and life."""
+    """Return the state of an endpoint except its row and incarnation."""
     left_out = {"row", "backlog", "cache", "is_over"}
     slots = [slot for slot in endpoint.__slots__ if slot not in left_out]
     found = {slot: getattr(endpoint, slot) for slot in slots}
@@ -67,25 +67,25 @@
 
 
 @pytest.mark.parametrize("change", [{}, {"port": 10}, {"version": "v2"}])
-def test_a_new_life_knows_nothing_of_the_one_before(
+def test_a_new_incarnation_has_no_state_of_the_earlier_one(
     book: directory.Directory, change: dict[str, typing.Any]
 ) -> None:
-    old = live_through(book)
-    # A smaller count of its own, an older row, whatever: another start, another life.
+    old = fill_state(book)
+    # Any other start time is a new incarnation, also an earlier one.
     for born in (BORN + 5, BORN - 5):
         book.update("e", row(born, **change))
         new = only(book)
         fresh = endpoint_state.Endpoint("e", row(born, **change))
         assert state_of(new) == state_of(fresh)
         assert old.is_over and not new.is_over
-    # What was under way ends at the old one, and leaves the new one as it is.
+    # Requests in flight end at the old one, and do not change the new one.
     book.drop(old, PROMPT)
     book.end(old)
     book.answered(old, failed=True)
     assert state_of(only(book)) == state_of(fresh)
 
 
-def test_what_others_tell_of_an_earlier_life_changes_nothing(
+def test_reports_about_an_earlier_incarnation_change_nothing(
     book: directory.Directory,
 ) -> None:
     old = only(book)
@@ -95,12 +95,12 @@
     book.apply_peer_prompts([(old.incarnation, MARKS)])
     book.apply_peer_unreachable("other", [old.incarnation])
     assert state_of(only(book)) == before
-    # What they tell of the new one counts.
+    # Reports about the new one count.
     book.apply_peer_prompts([(only(book).incarnation, MARKS)])
     assert only(book).cache.cached(MARKS) == 500
 
 
-def test_what_is_told_names_the_life(book: directory.Directory) -> None:
+def test_gossip_names_the_incarnation(book: directory.Directory) -> None:
     one = only(book)
     book.begin(one, PROMPT)
     book.read(one, PROMPT)
@@ -120,13 +120,13 @@
     return only(book)
 
 
-def test_a_leaving_one_that_starts_again_stays(book: directory.Directory) -> None:
+def test_a_leaving_endpoint_that_restarts_stays(book: directory.Directory) -> None:
     book.update("e", row(BORN, draining=True))
     assert only(book).leave_at != clock.NEVER
     assert only_after(book, BORN + 5).leave_at == clock.NEVER
 
 
-def test_an_endpoint_that_tells_no_start_keeps_its_knowledge() -> None:
+def test_an_endpoint_without_a_start_time_keeps_its_state() -> None:
     book = directory.Directory(clock.ManualClock(100.0), 2.0)
     book.update("e", row(0))
     one = only(book)
@@ -135,7 +135,7 @@
     assert only(book) is one
 
 
-def test_a_call_may_ask_the_new_life_again(book: directory.Directory) -> None:
+def test_a_call_may_use_the_new_incarnation(book: directory.Directory) -> None:
     excluded = {only(book).incarnation}
     assert book.usable("llm", excluded) == []
     book.update("e", row(BORN + 5))
@@ -143,12 +143,12 @@
 
 
 def hang_once(fake: backend.Backend) -> None:
-    """Have an endpoint leave its next request open without a word."""
+    """Have an endpoint never answer its next request."""
     fake.scripts.append(backend.hang)
 
 
 @pytest.mark.parametrize("target, status", [("/safe/x", 200), ("/unsafe/x", 502)])
-def test_what_was_sent_to_the_earlier_life_ends_as_cut(
+def test_requests_at_the_earlier_incarnation_end_as_cut(
     target: str, status: int
 ) -> None:
     with gatewaysite.GatewaySite() as site:
@@ -156,7 +156,7 @@
         hang_once(fake)
         later = site.call_later(target, X_Deadline_Ms="20000")
         gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
-        # It crashed and is back within a heartbeat; the old connection says nothing.
+        # It crashed and restarted within a heartbeat; the old connection stays silent.
         site.write_row("one", "app", born=BORN + 5)
         answer = later.get()
         assert answer.status == status
@@ -175,8 +175,8 @@
         assert fake.seen[1].headers["last-event-id"] == "2"
 
 
-def test_beats_carry_lives() -> None:
-    """A summary of a hall adds up what is told of one life alone."""
+def test_heartbeats_carry_incarnations() -> None:
+    """A summary of a hall adds up loads of the same incarnation only."""
     told = {"e@1": endpoint_state.Load(1, 0.0), "e@2": endpoint_state.Load(2, 0.0)}
     news = mesh_messages.HallNews("h", 0.0, [], 1, True, told, ["e@1"], [])
     beat = mesh_messages.Beat(
--- a/gaprock/test/testwarmup.py
+++ b/gaprock/test/testwarmup.py
@@ -1,4 +1,4 @@
-"""Endpoints that are not warm: what all gateways together may send them, and do."""
+"""Tests of slow start: what all gateways together send to endpoints not yet warm."""
 
 import random
 import typing
@@ -25,7 +25,7 @@
 
 SERVICE: typing.Final = "llm"
 RULE: typing.Final = routes.WarmUp(3.0, 18.0)
-# What an endpoint may get in a second while it warms up: 18 x 1.5 + 5.
+# Sends that an endpoint may get in a second while it warms up: 18 x 1.5 + 5.
 MOST: typing.Final = 32
 
 
@@ -36,7 +36,7 @@
 
 
 class Book:
-    """One gateway's directory, with a rule for the service."""
+    """One gateway's directory, with a warm-up rule for the service."""
 
     def __init__(
         self, time: clock.ManualClock, name: str = "gw", gateways: int = 21
@@ -53,7 +53,7 @@
         return self.directory._endpoints["e"]
 
     def sends(self, seconds: float) -> int:
-        """Count the sends that go out if one is tried each hundredth of a second."""
+        """Count the sends that go out when one is tried every hundredth of a second."""
         done = 0
         for _ in range(round(100 * seconds)):
             if self.directory.usable(SERVICE, set()):
@@ -67,14 +67,14 @@
 
 @hypothesis.given(
     known=st.integers(1, 400),
-    more=st.floats(1.0, warm_up.UNHEARD),
+    more=st.floats(1.0, warm_up.UNKNOWN_FACTOR),
     per_s=st.floats(1.0, 40.0),
     seed=st.integers(0, 1 << 30),
 )
 def test_no_second_holds_more_sends_of_all_gateways_than_the_bound(
     known: int, more: float, per_s: float, seed: int
 ) -> None:
-    """Each gateway sends whenever it may, from a moment that is the worst for all."""
+    """Each gateway sends whenever it may, at the worst time for all together."""
     bounds = options.SiteBounds()
     rule = routes.WarmUp(3.0, per_s)
     most = int(per_s * bounds.warm_excess + bounds.warm_slack)
@@ -103,9 +103,9 @@
 def test_endpoints_that_come_back_under_load_get_what_they_bear(
     gateways: int, routing: str
 ) -> None:
-    """A third of the endpoints comes back empty; one gateway in five is cut off.
+    """A third of the endpoints comes back idle; one gateway in five is cut off.
 
-    ``bench.herd`` prints what the worst second is without a part each.
+    ``bench.herd`` prints the worst second without shares.
     """
     plugin.load_all(plugin.GATEWAY_MODULES)
     endpoints = 40 if gateways == 21 else 120
@@ -116,10 +116,10 @@
     assert play.refused <= 0.01 * play.asked
 
 
-def test_without_parts_the_fleet_overruns_what_an_endpoint_bears(
+def test_without_shares_the_fleet_overloads_an_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A larger fleet at twice the load shows what the parts are for."""
+    """Without shares a larger fleet at twice the load exceeds the bound."""
     plugin.load_all(plugin.GATEWAY_MODULES)
     monkeypatch.setattr(mechanisms.SLOW_START, "on", False)
     play = herd.Play(100, 60, 600.0, "least-filled", 0)
@@ -127,7 +127,7 @@
     assert play.worst() > MOST
 
 
-# -- Which endpoints are not warm --
+# -- Endpoints that are not warm --
 
 
 def test_an_endpoint_says_how_long_it_warms_up() -> None:
@@ -147,7 +147,7 @@
     assert book.sends(1.0) == 100
 
 
-def test_one_that_turns_cold_again_is_spared() -> None:
+def test_an_endpoint_that_turns_cold_again_is_limited() -> None:
     book = Book(clock.ManualClock(100.0))
     book.directory.update("e", row())
     assert book.sends(1.0) == 100
@@ -156,7 +156,7 @@
 
 
 @pytest.mark.parametrize("by", ["us", "others", "hall"])
-def test_one_that_was_out_of_sight_is_spared_before_its_row_says_so(by: str) -> None:
+def test_an_endpoint_that_was_away_is_limited_before_its_row_says_so(by: str) -> None:
     book = Book(clock.ManualClock(100.0))
     book.directory.update("e", row())
     if by == "us":
@@ -183,7 +183,7 @@
     assert not any(book.claim_send(endpoint) for _ in range(50))
 
 
-# -- How many gateways there are --
+# -- Number of gateways --
 
 
 def test_the_most_that_were_seen_are_remembered_and_forgotten() -> None:
@@ -206,13 +206,13 @@
     assert fleet.members[0].mesh.peak_gateways() == 21
 
 
-def test_one_that_starts_without_the_store_takes_the_others_word() -> None:
+def test_a_gateway_that_starts_without_the_store_learns_the_peak_from_peers() -> None:
     fleet = fleetcase.Fleet(1, 7)
     fleet.run(4.0)
     late = fleetcase.Member(fleet, "h0", 99)
     assert late.mesh.peak_gateways() == 0
     fleet.join(late)
-    # It has heard of one gateway; all others may be silent.
+    # It knows of one gateway; all others may be silent.
     for member in fleet.members[1:-1]:
         member.is_dead = True
     late.mesh._new_addresses.append(
@@ -222,11 +222,11 @@
     assert late.mesh.peak_gateways() == 7
 
 
-# -- The whole path --
+# -- End to end --
 
 
-def test_a_gateway_spares_an_endpoint_that_warms_up() -> None:
-    """A second send, which a climb is, counts as well as a first one."""
+def test_a_gateway_limits_sends_to_an_endpoint_that_warms_up() -> None:
+    """A second send, such as an escalation, counts like a first one."""
     services = [
         {
             "Name": "llm",
--- a/gaprock/warm_up.py
+++ b/gaprock/warm_up.py
@@ -1,19 +1,19 @@
 """Slow start: what a gateway may send to an endpoint that is not warm yet.
 
-An endpoint that has started while there is traffic, or that stood idle, bears a part
-of its usual load for some seconds and falls over under more.  It is also the emptiest
-of all, for every gateway in the same moment, so that the whole fleet's next sends go
-there.
-
-All gateways together keep within what it bears, though nobody can be asked: a gateway
-may be cut off, frozen, just started, or late to hear that an endpoint is not warm.  So
-each has a part of the bound that it may use by itself.  The part is worked out from the
-most gateways that were known for a long while, and more than that are reckoned with.
-In a fleet too large for a part each, a hash of gateway and endpoint picks the few that
-send there; it needs no list of gateways, so they need not agree on one.
-
-Guards against endpoints that fall over as they come back, and against overrunning what
-the site allows.
+An endpoint that started under traffic, or was idle, handles only a part of its usual
+load for some seconds and fails under more.  It also has the least load of all, for
+every gateway at the same time, so that the next sends of the whole fleet go there.
+
+All gateways together must stay within what the endpoint can handle, without asking each
+other before a send: a gateway may be cut off, frozen, just started, or late to learn
+that an endpoint is not warm.  So each gateway has a share of the bound that it may use
+on its own.  The share is computed from the largest number of gateways known over a long
+time, plus a margin.  In a fleet too large for a share each, a hash of gateway and
+endpoint selects the few that send there.  The hash needs no list of gateways, so they
+need not agree on one.
+
+This guards against endpoints that fail as they come back, and against exceeding the
+bounds that the site sets.
 """
 
 import functools
@@ -32,16 +32,17 @@
     routes,
 )
 
-# More gateways may be there than were ever heard of, such as those that were just
-# added: so many for each one that is known.
-UNHEARD: typing.Final = 1.25
-# A pause after which one second holds a single send of a gateway, seconds: a second and
-# what sends are late to leave.
-WHOLE_WINDOW_S: typing.Final = 1.05
-# Chance that more gateways are picked for an endpoint than its bound has sends.
-PICKED_RISK: typing.Final = 1e-6
-# An endpoint that was out of sight may not be warm though its row does not say so yet:
-# rows are written each 1.2 s and read up to 0.8 s later, seconds.
+# Assumed gateways per known one: there may be more than were ever known, such as those
+# that were just added.
+UNKNOWN_FACTOR: typing.Final = 1.25
+# With this pause no second holds more than one send of a gateway: one second, plus the
+# delay with which sends may leave.
+SINGLE_SEND_PAUSE_S: typing.Final = 1.05
+# Accepted probability that more gateways are selected for an endpoint than its bound
+# allows sends.
+EXCESS_RISK: typing.Final = 1e-6
+# An endpoint that was unreachable or idle may be cold though its row does not say so
+# yet: rows are written every 1.2 s and read up to 0.8 s later.
 ROW_LAG_S: typing.Final = 2.0
 HASH_RANGE: typing.Final = 1 << 32
 
@@ -49,45 +50,45 @@
 def pause_s(
     rule: routes.WarmUp, bounds: options.SiteBounds, gateways: int, place: float
 ) -> float:
-    """Give the pause between two sends of one gateway to one endpoint.
+    """Return the pause between two sends of one gateway to one endpoint.
 
-    Whatever moments the others choose, no second holds more sends of all of them than
-    the bound: a gateway sends ``1 / pause + 1`` times in a second at most, one with a
+    Whenever the other gateways send, no second holds more sends of all of them than the
+    bound: a gateway sends at most ``1 / pause + 1`` times in a second, and one with a
     pause of a second once.
 
-    :param gateways: the most that were known lately; 0 if that is not known.
-    :param place: of this gateway for this endpoint, 0 to 1, drawn by a hash.
+    :param gateways: the largest number known lately; 0 if unknown.
+    :param place: hash of this gateway and endpoint, scaled to 0 to 1.
     :returns: seconds; ``NEVER`` for a gateway that may not send there.
     """
     if gateways <= 0 or rule.per_s <= 0:
         return clock.NEVER
     most = int(rule.per_s * bounds.warm_excess + bounds.warm_slack)
-    sharers = math.ceil(UNHEARD * gateways)
+    sharers = math.ceil(UNKNOWN_FACTOR * gateways)
     if sharers > most:
-        picked = picked_mean(most)
-        if place * sharers >= picked:
+        selected = selected_mean(most)
+        if place * sharers >= selected:
             return clock.NEVER
-        return max(WHOLE_WINDOW_S, picked / rule.per_s)
+        return max(SINGLE_SEND_PAUSE_S, selected / rule.per_s)
     pause = sharers / rule.per_s
     if sharers + rule.per_s > most:
-        return max(WHOLE_WINDOW_S, pause)
+        return max(SINGLE_SEND_PAUSE_S, pause)
     return pause
 
 
 @functools.lru_cache(maxsize=64)
-def picked_mean(most: int) -> float:
-    """Give how many gateways to pick in the mean for hardly ever more than ``most``.
+def selected_mean(most: int) -> float:
+    """Return the mean number of gateways to select to hardly ever exceed ``most``.
 
-    Each gateway is picked by itself, so their number is spread as a Poisson one.
+    Each gateway is selected independently, so their number has a Poisson distribution.
     """
     mean = float(most)
-    while mean > 0.01 and _more_than(most, mean) > PICKED_RISK:
+    while mean > 0.01 and _poisson_tail(most, mean) > EXCESS_RISK:
         mean *= 0.97
     return mean
 
 
-def _more_than(most: int, mean: float) -> float:
-    """Give the chance that a Poisson number is larger than ``most``."""
+def _poisson_tail(most: int, mean: float) -> float:
+    """Return the probability that a Poisson variable exceeds ``most``."""
     term = total = math.exp(-mean)
     for count in range(1, most + 1):
         term *= mean / count
@@ -96,12 +97,12 @@
 
 
 class SlowStarts:
-    """The endpoints that are not warm, and what we may send them; for all threads.
+    """Limits this gateway's sends to endpoints that are not warm; thread-safe.
 
-    :param gateway: our own name.
-    :param bounds: gives what the site promises.
-    :param services: the services of the configuration in force, by name.
-    :param gateways: gives the most gateways that were known lately, or 0.
+    :param gateway: name of this gateway.
+    :param bounds: returns the bounds that the site sets.
+    :param services: returns the services of the configuration in force, by name.
+    :param gateways: returns the largest number of gateways known lately, or 0.
     """
 
     __slots__ = ("_clock", "_gateway", "_bounds", "_services", "_gateways", "_lock")
@@ -121,18 +122,18 @@
         self._gateways = gateways
         self._lock = threading.Lock()
 
-    def note_row(self, endpoint: endpoint_state.Endpoint) -> None:
-        """Take what an endpoint says of itself."""
+    def apply_row(self, endpoint: endpoint_state.Endpoint) -> None:
+        """Apply the warm-up time in an endpoint's row."""
         if endpoint.row.warming_s > 0:
-            self._note(endpoint, endpoint.row.warming_s, "its row")
+            self._start_warm_up(endpoint, endpoint.row.warming_s, "its row")
 
-    def note_return(self, endpoint: endpoint_state.Endpoint, reason: str) -> None:
-        """Spare an endpoint that was out of sight until it must be warm."""
+    def assume_cold(self, endpoint: endpoint_state.Endpoint, reason: str) -> None:
+        """Treat an endpoint that was unreachable or idle as cold for a while."""
         rule = self._rule(endpoint)
         if rule is not None and rule.lasts_s > 0:
-            self._note(endpoint, rule.lasts_s + ROW_LAG_S, reason)
+            self._start_warm_up(endpoint, rule.lasts_s + ROW_LAG_S, reason)
 
-    def _note(
+    def _start_warm_up(
         self, endpoint: endpoint_state.Endpoint, lasts_s: float, reason: str
     ) -> None:
         now = self._clock.now()
@@ -148,13 +149,13 @@
             )
 
     def may_send(self, endpoint: endpoint_state.Endpoint, now: float) -> bool:
-        """Whether a send to an endpoint is within our part now."""
+        """Whether a send to an endpoint is within this gateway's share now."""
         if now >= endpoint.warm_at or not mechanisms.SLOW_START.on:
             return True
         return now >= endpoint.next_send_at and self._pause_s(endpoint) < clock.NEVER
 
     def take(self, endpoint: endpoint_state.Endpoint) -> bool:
-        """Count a send that goes out now; give whether it may."""
+        """Record a send that goes out now; return whether it is allowed."""
         now = self._clock.now()
         if now >= endpoint.warm_at or not mechanisms.SLOW_START.on:
             return True
@@ -166,7 +167,7 @@
             return True
 
     def turn(self, endpoint: endpoint_state.Endpoint) -> rate_pacing.Turn:
-        """Give when our next sends to an endpoint are due."""
+        """Return when this gateway's next sends to an endpoint are due."""
         now = self._clock.now()
         if now >= endpoint.warm_at or not mechanisms.SLOW_START.on:
             return rate_pacing.ANY_TIME
--- a/misc/proofs_gateway_endpoints.py
+++ b/misc/proofs_gateway_endpoints.py
@@ -7,7 +7,7 @@
 PROOFS: typing.Final = (
     proofs.gateway(
         "an endpoint that starts again is a new one",
-        "testreborn.py::test_a_new_life_knows_nothing_of_the_one_before",
+        "testreborn.py::test_a_new_incarnation_has_no_state_of_the_earlier_one",
         "directory_rows.py",
         "endpoint is not None and endpoint.row.born != row.born",
         "False and endpoint is not None",
@@ -24,7 +24,7 @@
         "testrouting.py::test_an_endpoint_that_others_find_dark_is_doubted_until_it"
         "_speaks",
         "directory_peers.py",
-        "if found[endpoint.row.service] > max(1, DARK_SHARE * size):",
+        "if found[endpoint.row.service] > max(1, MAX_UNREACHABLE_SHARE * size):",
         "if False:",
     ),
     proofs.gateway(
@@ -74,7 +74,7 @@
     ),
     proofs.gateway(
         "an endpoint that warms up gets what it bears",
-        "testwarmup.py::test_one_that_turns_cold_again_is_spared",
+        "testwarmup.py::test_an_endpoint_that_turns_cold_again_is_limited",
         "warm_up.py",
         "            endpoint.next_send_at = now + pause\n",
     ),
@@ -109,9 +109,9 @@
     ),
     proofs.gateway(
         "word of a limit does not grow newer by being told back",
-        "testlimits.py::test_word_of_a_limit_does_not_grow_newer_by_being_told",
+        "testlimits.py::test_a_limit_report_does_not_become_newer_when_relayed",
         "rate_limits.py",
-        "is_newer = as_of > known.as_of + SAME_S",
+        "is_newer = as_of > known.as_of + SIMULTANEOUS_S",
         "is_newer = as_of > known.as_of",
     ),
     proofs.gateway(
@@ -155,14 +155,14 @@
         "an emptied hall gets nothing",
         "testemptied.py::test_an_order_stands_until_its_row_goes",
         "directory_rows.py",
-        "        return endpoint.row.hall not in self._emptied\n",
+        "        return endpoint.row.hall not in self._cordoned\n",
         "        return True\n",
     ),
     proofs.gateway(
         "a send that was chosen before its hall was emptied does not go out",
         "testemptied.py::test_a_send_that_was_chosen_before_the_order_does_not_go_out",
         "directory_rows.py",
-        "if endpoint.row.hall in self._emptied:",
+        "if endpoint.row.hall in self._cordoned:",
         "if False:",
     ),
     proofs.gateway(
--- a/misc/proofs_gateway_mesh.py
+++ b/misc/proofs_gateway_mesh.py
@@ -57,7 +57,7 @@
     ),
     proofs.gateway(
         "carriers that fell silent are passed by",
-        "testhalls.py::test_carriers_that_fail_are_passed_by",
+        "testhalls.py::test_failed_relays_are_bypassed",
         "mesh_plan.py",
         "if peer.heard_at >= now - HEARD_S and peer.beat",
         "if peer.beat",
@@ -86,7 +86,7 @@
     ),
     proofs.gateway(
         "a summary is taken by its age, whoever tells it",
-        "testhalls.py::test_a_summary_is_taken_by_its_age_whoever_tells_it",
+        "testhalls.py::test_summaries_are_ordered_by_age_whoever_sends_them",
         "mesh_halls.py",
         "(known and known.as_of >= as_of)",
         "False",
--- a/misc/proofs_gateway_notices.py
+++ b/misc/proofs_gateway_notices.py
@@ -15,7 +15,7 @@
     ),
     proofs.gateway(
         "a send that was chosen in time is stopped as it leaves",
-        "testdepartures.py::test_a_send_chosen_in_time_is_stopped_at_its_last_look",
+        "testdepartures.py::test_a_send_chosen_in_time_is_stopped_at_its_last_check",
         "directory_rows.py",
         "if self._clock.now() >= endpoint.leave_at:",
         "if False:",
@@ -60,7 +60,7 @@
     ),
     proofs.gateway(
         "the end of a backoff brings the load back slowly",
-        "testbackoffs.py::test_the_end_lets_one_send_out_and_each_answer_two_more",
+        "testbackoffs.py::test_sends_resume_with_one_and_each_answer_allows_two_more",
         "backoffs.py",
         "known.sends_left = max(0, known.sends_left - 1)",
         "pass",
@@ -93,7 +93,7 @@
         "testbackoffs.py::test_where_a_full_endpoint_shed_the_others_are_not_filled"
         "_up",
         "backoffs.py",
-        "if is_wary and load >= CAP_SHARE * endpoint.row.slots:",
+        "if is_service_capped and load >= CAP_SHARE * endpoint.row.slots:",
         "if False:",
     ),
 )
--- a/misc/proofs_gateway_restores.py
+++ b/misc/proofs_gateway_restores.py
@@ -87,7 +87,7 @@
         "testrestoredendpoints.py::test_answers_do_not_take_back_a_departure_that_a"
         "_restore_lost",
         "departures.py",
-        "elif known is not None and known.doubted_until:",
+        "elif known is not None and known.distrust_row_until:",
         "elif False:",
     ),
     proofs.gateway(
