--- a/gaprock/directory.py
+++ b/gaprock/directory.py
@@ -106,7 +106,7 @@
     def drop(
         self, endpoint: endpoint_state.Endpoint, prompt: endpoint_state.Prompt
     ) -> None:
-        """Remove a prompt from the backlog, since its send ended before that."""
+        """Remove a prompt from the backlog: its send ended before prefill was done."""
         with self._lock:
             endpoint.backlog.remove(prompt.reading, self._clock.now())
 
@@ -168,7 +168,7 @@
             return True
 
     def claim_connection_check(self, endpoint: endpoint_state.Endpoint) -> bool:
-        """Whether to check an endpoint that broke off an answer by a connection now."""
+        """Whether to check the connection now after an endpoint broke off an answer."""
         now = self._clock.now()
         with self._lock:
             if now < endpoint.checked_at + endpoint_state.CHECK_INTERVAL_S:
--- a/gaprock/directory_peers.py
+++ b/gaprock/directory_peers.py
@@ -87,7 +87,7 @@
             return
         with self._lock:
             for incarnation, hashes in prompts:
-                endpoint = self._by_incarnation.get(incarnation)
+                endpoint = self._current.get(incarnation)
                 if endpoint is not None:
                     self._use(endpoint, hashes)
 
@@ -120,9 +120,9 @@
         now = self._clock.now()
         with self._lock:
             told = [
-                self._by_incarnation[incarnation]
+                self._current[incarnation]
                 for incarnation in names
-                if incarnation in self._by_incarnation
+                if incarnation in self._current
             ]
             found = collections.Counter(e.row.service for e in told)
             for endpoint in list(self._suspected.values()):
@@ -174,7 +174,7 @@
         now = self._clock.now()
         with self._lock:
             for incarnation in {*self._peer_loads.get(gateway, ()), *loads}:
-                endpoint = self._by_incarnation.get(incarnation)
+                endpoint = self._current.get(incarnation)
                 if endpoint is None:
                     continue
                 load = loads.get(incarnation)
--- a/gaprock/directory_rows.py
+++ b/gaprock/directory_rows.py
@@ -79,7 +79,7 @@
         self._lock = threading.Lock()
         # The current incarnation of each endpoint, by endpoint and by incarnation id.
         self._endpoints: dict[str, endpoint_state.Endpoint] = {}
-        self._by_incarnation: dict[str, endpoint_state.Endpoint] = {}
+        self._current: dict[str, endpoint_state.Endpoint] = {}
         # Whether each new endpoint is logged.
         self._logs_new = True
         self._index = endpoint_index.EndpointIndex()
@@ -127,7 +127,7 @@
             if row.draining:
                 continue
             incarnation = endpoint_state.incarnation_id(name, row.born)
-            endpoint = self._by_incarnation.get(incarnation)
+            endpoint = self._current.get(incarnation)
             departures_ = self.notices.departures
             if endpoint is not None and endpoint.lapsed:
                 continue
@@ -168,16 +168,13 @@
             for name, endpoint in list(self._endpoints.items()):
                 idle = endpoint.row_gone and not endpoint.running
                 if idle and now > endpoint.row_leave_at + self._drain_s:
-                    del (
-                        self._endpoints[name],
-                        self._by_incarnation[endpoint.incarnation],
-                    )
+                    del self._endpoints[name], self._current[endpoint.incarnation]
                     self._forget(endpoint)
                     self._remember_gone(endpoint)
             for incarnation in self.notices.departures.end_restore_grace():
-                if incarnation in self._by_incarnation:
-                    self._apply_departure(self._by_incarnation[incarnation])
-            self.notices.forget_old(self._by_incarnation)
+                if incarnation in self._current:
+                    self._apply_departure(self._current[incarnation])
+            self.notices.forget_old(self._current)
 
     def _remember_gone(self, endpoint: endpoint_state.Endpoint) -> None:
         """Remember an ended incarnation: a restored store may show it as ready."""
@@ -193,7 +190,7 @@
         is_new = endpoint is None
         if endpoint is None:
             endpoint = self._endpoints[name] = endpoint_state.Endpoint(name, row)
-            self._by_incarnation[endpoint.incarnation] = endpoint
+            self._current[endpoint.incarnation] = endpoint
             self._index.add(endpoint)
             self._log_new(name, row)
         was_draining = endpoint.row.draining
@@ -235,7 +232,7 @@
         Sends to it go on, and end as soon as they check its state.
         """
         endpoint.is_over = True
-        del self._by_incarnation[endpoint.incarnation]
+        del self._current[endpoint.incarnation]
         self._forget(endpoint)
         eventlog.info(
             "endpoint-reborn",
@@ -301,7 +298,7 @@
         """Return the departures known from answers that rows do not show too."""
 
         def is_wanted(incarnation: str) -> bool:
-            endpoint = self._by_incarnation.get(incarnation)
+            endpoint = self._current.get(incarnation)
             return endpoint is not None and endpoint.row_leave_at == clock.NEVER
 
         return self.notices.departures.news(is_wanted)
@@ -318,7 +315,7 @@
         self.notices.departures.record_news(sender, news, age_s)
         with self._lock:
             for one in news:
-                endpoint = self._by_incarnation.get(one.endpoint)
+                endpoint = self._current.get(one.endpoint)
                 if endpoint is not None:
                     self._apply_departure(endpoint)
 
@@ -424,8 +421,7 @@
             return []
         with self._lock:
             limited = [
-                self._by_incarnation.get(incarnation)
-                for incarnation in pacer.limits.lives()
+                self._current.get(incarnation) for incarnation in pacer.limits.lives()
             ]
             return [
                 e
@@ -471,7 +467,7 @@
     def living(
         self, service: str, test: endpoint_index.Test
     ) -> tuple[list[endpoint_state.Endpoint], int]:
-        """Return a service's reachable endpoints, and how many there are in all.
+        """Return a service's reachable endpoints, and the count with unreachable ones.
 
         Leaving endpoints and those in cordoned halls are not counted.
 
--- a/gaprock/endpoint_state.py
+++ b/gaprock/endpoint_state.py
@@ -174,7 +174,7 @@
         """Return the prefill work that a request would cause.
 
         :param tokens: length of the whole prompt.
-        :param weight: cost of the model's token relative to the largest model's.
+        :param weight: cost of the model's token; that of the largest model is 1.
         """
         to_read = max(0, tokens - self.cache.cached(hashes))
         cached = 1.0 - to_read / tokens if tokens else 0.0
