--- a/gaprock/endpoint_notices.py
+++ b/gaprock/endpoint_notices.py
@@ -61,7 +61,7 @@
         :param sent_at: when the answered request was sent.
         """
         notice, incarnation = head.notice, endpoint.incarnation
-        for text in notice.odd:
+        for text in notice.invalid:
             self._log_invalid(endpoint, text)
         # If another endpoint answered, a missing notice says nothing about this one.
         if not head.wrong_endpoint or notice.limit.per_s is not None:
--- a/gaprock/followers.py
+++ b/gaprock/followers.py
@@ -234,7 +234,7 @@
                     continue
             except gateway_api.StoreError as exc:
                 self._record_disconnect(exc)
-                self._wait_before_retry(pause_s, exc.retry_s)
+                self._wait_before_retry(pause_s, exc.retry_after_s)
                 pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
                 continue
             except Exception as exc:
@@ -246,12 +246,12 @@
             if not self._history_gone_count:
                 pause_s = FIRST_PAUSE_S
 
-    def _wait_before_retry(self, pause_s: float, retry_s: float = 0.0) -> None:
+    def _wait_before_retry(self, pause_s: float, retry_after_s: float = 0.0) -> None:
         """Wait before the next attempt, longer while peers retry for us.
 
-        :param retry_s: for how long the store asked for no calls.
+        :param retry_after_s: for how long the store asked for no calls.
         """
-        began = self._clock.now() + retry_s
+        began = self._clock.now() + retry_after_s
         share = self._rng.uniform(0.5, 1.0)
         try_at, late_try_at = (
             began + share * pause_s,
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -76,7 +76,7 @@
     ) -> gateway_choose.Choice:
         """Choose an endpoint, waiting for a short time if there is none.
 
-        :raises gateway_call.GivenUp: if no endpoint is found.
+        :raises gateway_call.CallError: if no endpoint is found.
         """
         give_up_at = self._clock.now() + WAIT_SHARE * call.route.goal_s
         give_up_at = min(give_up_at, call.deadline)
@@ -107,7 +107,7 @@
     def _refuse_unservable(self, call: gateway_call.Call) -> None:
         """Refuse a call at once if no endpoint can run it now.
 
-        :raises gateway_call.GivenUp: if its halls are cordoned, or every endpoint that
+        :raises gateway_call.CallError: if its halls are cordoned, or every endpoint that
             may run it is gone or did not accept a connection a moment ago.
         """
         if self._chooser.has_no_permitted_hall(call):
@@ -140,7 +140,7 @@
 
         :returns: ``None`` if the rate limits no longer apply, or if endpoints that
             refused the call should be tried again.
-        :raises gateway_call.GivenUp: as soon as the call's turn would come too late.
+        :raises gateway_call.CallError: as soon as the call's turn would come too late.
         """
         latest_at = call.inbound.arrived_at + QUEUE_SHARE * call.route.goal_s
         latest_at = min(latest_at, call.deadline)
@@ -166,7 +166,7 @@
 
     def _rate_limited(
         self, call: gateway_call.Call, turn: rate_pacing.Turn
-    ) -> gateway_call.GivenUp:
+    ) -> gateway_call.CallError:
         """Return the refusal of a call whose turn does not come in time."""
         if call.has_run:
             return self.unknown(call, "endpoints take no more")
@@ -174,20 +174,20 @@
         caller_s = call.wait_until - now
         retry_s = self._queue.retry_after_s(call, turn, now, caller_s)
         detail = f"{turn.per_s:.2g} a second, next in {turn.next_at - now:.2g} s"
-        return gateway_call.GivenUp(errorcodes.PACED, detail, retry_s)
+        return gateway_call.CallError(errorcodes.PACED, detail, retry_s)
 
-    def refused(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
+    def refused(self, call: gateway_call.Call, detail: str) -> gateway_call.CallError:
         """Return the refusal of a call that no endpoint accepted."""
         if call.has_run:
             return self.unknown(call, detail)
         if self._clock.now() >= call.deadline:
-            return gateway_call.GivenUp(errorcodes.DEADLINE_PAST, detail, 0.0)
+            return gateway_call.CallError(errorcodes.DEADLINE_PAST, detail, 0.0)
         turn = self._chooser.turn(call)
         if turn is not None and turn.next_at > self._clock.now():
             return self._rate_limited(call, turn)
         return self.overloaded(detail, call.wait_until - self._clock.now())
 
-    def _all_down(self, call: gateway_call.Call) -> gateway_call.GivenUp:
+    def _all_down(self, call: gateway_call.Call) -> gateway_call.CallError:
         """Return the refusal of a call for which all endpoints are down."""
         if call.has_run:
             return self.unknown(call, "all endpoints are dark")
@@ -195,25 +195,25 @@
         self._outages.record_outage(call.service, now)
         caller_s = call.wait_until - now
         retry_s = self._outages.retry_after_s(call.service, now, caller_s)
-        return gateway_call.GivenUp(errorcodes.NO_ENDPOINT, "all are dark", retry_s)
+        return gateway_call.CallError(errorcodes.NO_ENDPOINT, "all are dark", retry_s)
 
-    def _no_permitted_hall(self, call: gateway_call.Call) -> gateway_call.GivenUp:
+    def _no_permitted_hall(self, call: gateway_call.Call) -> gateway_call.CallError:
         """Return the refusal of a call whose permitted halls are all cordoned."""
         if call.has_run:
             return self.unknown(call, "halls emptied")
         retry_s = self._rng.uniform(*NO_HALL_RETRY_S)
-        return gateway_call.GivenUp(errorcodes.NO_HALL, "", retry_s)
+        return gateway_call.CallError(errorcodes.NO_HALL, "", retry_s)
 
-    def overloaded(self, detail: str, caller_s: float) -> gateway_call.GivenUp:
+    def overloaded(self, detail: str, caller_s: float) -> gateway_call.CallError:
         """Return a refusal due to overload, with the caller's turn as the retry time.
 
         :param caller_s: the time for which the caller still waits.
         """
         retry_s = self._retry_schedule.next_s(self._clock.now(), caller_s)
-        return gateway_call.GivenUp(errorcodes.OVERLOADED, detail, retry_s)
+        return gateway_call.CallError(errorcodes.OVERLOADED, detail, retry_s)
 
-    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
+    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.CallError:
         """Return the error for a call that may have run."""
         if self._clock.now() >= call.deadline:
-            return gateway_call.GivenUp(errorcodes.DEADLINE_RUNNING, detail)
-        return gateway_call.GivenUp(errorcodes.OUTCOME_UNKNOWN, detail)
+            return gateway_call.CallError(errorcodes.DEADLINE_RUNNING, detail)
+        return gateway_call.CallError(errorcodes.OUTCOME_UNKNOWN, detail)
--- a/gaprock/gateway_judge.py
+++ b/gaprock/gateway_judge.py
@@ -52,13 +52,13 @@
             return
         attempt.is_judged = True
         version = attempt.endpoint.row.version
-        if failed and version in call.failed_on:
+        if failed and version in call.failed_versions:
             # A request that fails wherever it is sent counts once per version. With
             # each of its sends counted, 7 such requests made up 14 of 22 answers, and
             # a good version was halted although the stable version had 8 of 40.
             return
         if failed:
-            call.failed_on.add(version)
+            call.failed_versions.add(version)
         took_s = (
             None if call.info.resume_after is not None else self._elapsed_s(attempt)
         )
@@ -115,7 +115,7 @@
         """Judge a completed stream by the time between its events."""
         if call.events < MIN_PACE_EVENTS:
             return
-        pace_s = (call.wrote_at - call.first_at) / (call.events - 1)
+        pace_s = (call.last_write_at - call.first_write_at) / (call.events - 1)
         sample = rollout_latency.VersionSample(False, pace_s)
         self._judge(call, attempt, f"{call.route.name}~pace", sample)
 
@@ -130,9 +130,9 @@
         It depends on the tokens ahead, since the endpoints of a canary have longer
         queues than others.
         """
-        if not attempt.tokens_ahead:
+        if not attempt.prefill_tokens:
             return None
-        return self._directory.pace.expect(call.service, attempt.tokens_ahead)
+        return self._directory.pace.expect(call.service, attempt.prefill_tokens)
 
     def _judge(
         self,
--- a/gaprock/gateway_quarantine.py
+++ b/gaprock/gateway_quarantine.py
@@ -81,7 +81,7 @@
         """
         if not self.held_s(call):
             return False
-        return attempt.begun_for(self._clock.now()) < quarantine.JUST_STARTED_S
+        return attempt.answer_age_s(self._clock.now()) < quarantine.JUST_STARTED_S
 
     def must_wait(self, call: gateway_call.Call) -> bool:
         """Whether a suspected request has to wait for an earlier try of the same one.
@@ -96,7 +96,7 @@
         for other in open_calls:
             if other is call:
                 return False
-            if other.is_alike(call):
+            if other.is_same_request(call):
                 return True
         return False
 
@@ -131,7 +131,7 @@
         # A plain service answers only once it is done, so the start cannot be seen.
         may_wait = call.route.kind is routes.RouteKind.STREAM
         return quarantine.suspicion_weight(
-            attempt.begun_for(self._clock.now()), may_wait
+            attempt.answer_age_s(self._clock.now()), may_wait
         )
 
     def record_broken_answer(
--- a/gaprock/rate_limits.py
+++ b/gaprock/rate_limits.py
@@ -87,8 +87,8 @@
 
         :param sent_at: when the answered request was sent.
         """
-        if notice.odd:
-            self._log_invalid(endpoint, notice.odd)
+        if notice.invalid:
+            self._log_invalid(endpoint, notice.invalid)
             return
         with self._lock:
             known = self._known.get(endpoint.incarnation)
