--- a/bench/placing_player.py
+++ b/bench/placing_player.py
@@ -229,7 +229,7 @@
 
     def end(self, send: "Send") -> None:
         """Note what the caller got."""
-        first_s = self.call.first_at - self.call.inbound.arrived_at
+        first_s = self.call.first_write_at - self.call.inbound.arrived_at
         skill = dict((name, share) for name, _, share in MODELS)[send.model]
         end = "in time"
         if first_s > self.kind.goal_s:
@@ -258,7 +258,7 @@
             endpoint, model, typing.cast(typing.Any, self), prompt
         )
         self.attempt.sent_at = player.time.now()
-        self.attempt.ahead = gateway.directory.unread(endpoint)
+        self.attempt.unread_before = gateway.directory.unread(endpoint)
         gateway.directory.begin(endpoint, prompt)
         job.call.sends += 1
         job.cost += dict((name, cost) for name, cost, _ in MODELS)[model] * job.tokens
@@ -269,7 +269,7 @@
         """The first event is there: keep the answer, or ask a larger model."""
         job, gateway = self.job, self.job.gateway
         self.attempt.head = self._head()
-        self.attempt.note_read(gateway.directory)
+        self.attempt.record_prefilled(gateway.directory)
         gateway.models.record_first(job.call, self.attempt)
         larger = gateway.models.larger(job.call, self.attempt)
         if larger:
@@ -277,7 +277,7 @@
             gateway.budget.take(SERVICE, self._player.time.now())
             job.send(larger)
             return
-        job.call.note_write(self._player.time.now())
+        job.call.record_write(self._player.time.now())
         self._ends_at = self._player.time.now() + job.kind.run_s
         self._player.after(job.kind.run_s, self._look)
 
--- a/gaprock/agent_gate.py
+++ b/gaprock/agent_gate.py
@@ -104,7 +104,7 @@
             if self.failures == MAX_LOAD_FAILURES:
                 eventlog.warning("endpoint-down", endpoint=self.endpoint.option.name)
 
-    def ended_life(self) -> str:
+    def ended_incarnation(self) -> str:
         """Look whether the endpoint has ended, and name the life that did; or empty."""
         if not self._is_gone:
             if self.endpoint.takes_connections():
@@ -124,7 +124,7 @@
         cfg: options.Options,
         clock_: clock.Clock,
         config_: config.Config,
-        bills_: bills.BillBook,
+        bills_: bills.BillBuffer,
         metrics_: metrics.Metrics,
         post: agent_run.Post,
         quarantine_: quarantine.Quarantine,
@@ -159,9 +159,9 @@
         except errors.GaprockError as exc:
             self._refuse(run, exc)
 
-    def cancel(self, run: agent_run.Run, void: bool = False) -> None:
+    def cancel(self, run: agent_run.Run, is_superseded: bool = False) -> None:
         """Nobody waits for the run any more."""
-        run.void = run.void or void
+        run.is_superseded = run.is_superseded or is_superseded
         run.cancel()
         slot = self.slots.get(run.start.endpoint)
         if slot is None or run.ticket is None:
@@ -218,7 +218,7 @@
         self._config.check(
             start.workspace, start.template, start.version, start.in_session
         )
-        if self._bills.full:
+        if self._bills.is_full:
             raise errors.GaprockError(errorcodes.BILLS_FULL, self._cfg.vm)
         slot = self.slots.get(start.endpoint)
         if slot is not None:
@@ -310,7 +310,7 @@
             begun_s = self._clock.now() - run.called_at - run.first_s
         # What has to wait does so here, so that what an endpoint has, it runs.
         weight = quarantine.suspicion_weight(begun_s, may_wait=False)
-        life = slot.ended_life() if weight else ""
+        life = slot.ended_incarnation() if weight else ""
         if not life:
             return end
         eventlog.info(
@@ -320,12 +320,16 @@
             endpoint=run.start.endpoint,
             weight=weight,
         )
-        return msgspec.structs.replace(end, ended_life=life, weight=weight)
+        return msgspec.structs.replace(end, ended_incarnation=life, weight=weight)
 
     def _conclude(
         self, run: agent_run.Run, end: messages.End | messages.Refused
     ) -> None:
-        if isinstance(end, messages.End) and end.bill is not None and not run.void:
+        if (
+            isinstance(end, messages.End)
+            and end.bill is not None
+            and not run.is_superseded
+        ):
             self._bills.hold(end.bill, [run.peer_name], clock.NEVER)
         run.finish(end)
         eventlog.info(
--- a/gaprock/agent_hub.py
+++ b/gaprock/agent_hub.py
@@ -85,7 +85,7 @@
         clock_: clock.Clock,
         config_: config.Config,
         evidence_: evidence.EvidenceBook,
-        bills_: bills.BillBook,
+        bills_: bills.BillBuffer,
         incarnation: str,
         quarantine_: quarantine.Quarantine,
     ) -> None:
@@ -301,7 +301,7 @@
         """Cancel what silent entries had asked for, and write their bills."""
         for peer in list(self._peers.values()):
             silent_s = now - peer.heard_at
-            self._remind(peer, now)
+            self._resend_ends(peer, now)
             if silent_s > self._cfg.stream_silent_s and not peer.gone:
                 peer.gone = True
                 self._peer_gone(peer)
@@ -310,7 +310,7 @@
             if silent_s > FORGET_S and not peer.runs:
                 del self._peers[peer.identity]
 
-    def _remind(self, peer: Peer, now: float) -> None:
+    def _resend_ends(self, peer: Peer, now: float) -> None:
         """Post ends again that were not acknowledged: the word may be lost."""
         for run in list(peer.runs.values()):
             run.remind(now - self._cfg.silent_s)
@@ -363,7 +363,7 @@
     def _(self, msg: messages.Cancel, peer: Peer) -> None:
         run = peer.runs.pop(msg.attempt, None)
         if run is not None:
-            self.gate.cancel(run, msg.void)
+            self.gate.cancel(run, msg.is_superseded)
 
     @handle.register
     def _(self, msg: messages.Resume, peer: Peer) -> None:
@@ -385,7 +385,7 @@
 
     @handle.register
     def _(self, msg: messages.BillsReleased, peer: Peer) -> None:
-        self._bills.drop(msg.keys)
+        self._bills.forget(msg.keys)
 
     @handle.register
     def _(self, msg: messages.BillsHandover, peer: Peer) -> None:
--- a/gaprock/agent_main.py
+++ b/gaprock/agent_main.py
@@ -54,7 +54,7 @@
         incarnation = ids.new_token()
         self.config = config.Config()
         self.evidence = evidence.EvidenceBook(f"{cfg.vm}/{incarnation}")
-        self.bills = bills.BillBook(
+        self.bills = bills.BillBuffer(
             platform.table, bills.AGENT, cfg.max_bills, self.clock
         )
         self.store = config_store.ConfigStore(platform.table)
@@ -101,11 +101,11 @@
         self.hub.report_now()
         eventlog.info("leaving", running=self.hub.open_runs)
         deadline = self.clock.now() + self.cfg.drain_s
-        drained = self.gate.drain(deadline) and self._wait_taken(deadline)
+        drained = self.gate.drain(deadline) and self._wait_acknowledged(deadline)
         eventlog.info("drained", whole=drained)
         for task in self._tasks:
             task.stop()
-        self._part_with_bills()
+        self._flush_bills()
         # The authenticator holds a socket of the hub's context, which ends last.
         if self._auth is not None:
             self._auth.stop()
@@ -126,7 +126,7 @@
             slot.refresh()
         self.quarantine.forget_old()
 
-    def _wait_taken(self, deadline: float) -> bool:
+    def _wait_acknowledged(self, deadline: float) -> bool:
         """Wait until live entries have taken the ends of all answers."""
         while self.hub.open_runs:
             if self.clock.now() >= deadline:
@@ -134,7 +134,7 @@
             threading.Event().wait(TAKEN_POLL_S)
         return True
 
-    def _part_with_bills(self) -> None:
+    def _flush_bills(self) -> None:
         """Write the last bills, or hand them to an entry while the table is down."""
         for owner in self.bills.owners():
             self.bills.release_owner(owner, self.clock.now())
@@ -142,7 +142,7 @@
             self._write_bills()
         except services_api.PlatformError as exc:
             eventlog.warning("platform-down", task="last-bills", error=exc)
-        held = self.bills.take_all()
+        held = self.bills.copy_all()
         if held and self.hub.hand_over(held):
             self.bills.wait_empty(self.clock.now() + bills.HANDOVER_S)
         eventlog.info("bills-left", handed_over=len(held), lost=len(self.bills))
--- a/gaprock/agent_run.py
+++ b/gaprock/agent_run.py
@@ -51,7 +51,7 @@
         "_end",
         "ended_at",
         "cancelled",
-        "void",
+        "is_superseded",
         "called_at",
         "first_s",
         "ticket",
@@ -74,7 +74,7 @@
         self.ended_at = 0.0
         self.cancelled = False
         # Another attempt took this one's place: it is not billed.
-        self.void = False
+        self.is_superseded = False
         # When the endpoint was called; 0 before.
         self.called_at = 0.0
         # Seconds from then to the first part; below 0 before.
@@ -305,7 +305,7 @@
     def _bill(self, code: int, parts: int) -> messages.Bill | None:
         """Make the bill; an attempt that gave no part is not billed."""
         start = self._run.start
-        if not parts and not start.prior:
+        if not parts and not start.earlier_lines:
             return None
         line = messages.BillLine(
             f"{self._run.peer_name}#{start.attempt}",
@@ -314,7 +314,7 @@
             parts,
             parts * start.cost,
         )
-        lines = [*start.prior, line]
+        lines = [*start.earlier_lines, line]
         return messages.Bill(
             start.bill_key, start.request, start.workspace, start.template, code, lines
         )
--- a/gaprock/bills.py
+++ b/gaprock/bills.py
@@ -44,11 +44,11 @@
         self.write_at = write_at
 
 
-class BillBook:
+class BillBuffer:
     """The unwritten bills of one process; safe for all threads.
 
     :param by: ``ENTRY`` or ``AGENT``; the writer's rank.
-    :param capacity: bills beyond which ``full`` is true.
+    :param capacity: bills beyond which ``is_full`` is true.
     """
 
     __slots__ = (
@@ -80,7 +80,7 @@
         self.written: typing.Callable[[str, list[str]], None] | None = None
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether new requests must be refused rather than served unbilled."""
         return len(self._held) >= self._capacity
 
@@ -108,14 +108,14 @@
                 if owner in held.owners:
                     held.write_at = min(held.write_at, write_at)
 
-    def drop(self, keys: list[str]) -> None:
+    def forget(self, keys: list[str]) -> None:
         """Forget bills that another process has written."""
         with self._lock:
             for key in keys:
                 self._held.pop(key, None)
             self._dropped.notify_all()
 
-    def take_all(self) -> list[messages.Bill]:
+    def copy_all(self) -> list[messages.Bill]:
         """Give all bills, to hand them over at a stop."""
         with self._lock:
             return [held.bill for held in self._held.values()]
@@ -148,7 +148,7 @@
         while wanted:
             result = self._table.transact(
                 [
-                    services_api.Op(key, versions[key], self._value(bill))
+                    services_api.TableOp(key, versions[key], self._value(bill))
                     for key, bill in wanted.items()
                 ]
             )
--- a/gaprock/claims.py
+++ b/gaprock/claims.py
@@ -32,7 +32,7 @@
 Value = dict[str, typing.Any]
 
 
-class Stored(typing.NamedTuple):
+class StoredAnswer(typing.NamedTuple):
     """The stored outcome of an earlier request with the same id."""
 
     status: int
@@ -84,7 +84,7 @@
 
     def take(
         self, workspace: str, request: str, digest: str, deadline: float
-    ) -> Claim | Stored:
+    ) -> Claim | StoredAnswer:
         """Claim a request id.
 
         :param digest: binds the id to the request's body.
@@ -136,7 +136,7 @@
         """Write that a call was not run, or that its outcome is unknown."""
         self._outcome(claim, {**claim.value, "state": state, "txid": ids.new_token()})
 
-    def settle_open(self) -> int:
+    def write_open_outcomes(self) -> int:
         """Try again to write the outcomes that are not in the table yet.
 
         :returns: the number of outcomes that are still open.
@@ -155,7 +155,7 @@
         """Write the claim's row; give the row in its way, if there is one."""
         now = self._clock.now()
         patience = min(deadline, now + CLAIM_PATIENCE_S)
-        fut = self._batcher.submit(services_api.Op(key, expect, value), patience)
+        fut = self._batcher.submit(services_api.TableOp(key, expect, value), patience)
         try:
             return fut.result()
         except services_api.AnswerLost as exc:
@@ -183,10 +183,10 @@
                 errorcodes.OUTCOME_UNKNOWN, "an earlier request with this id"
             )
 
-    def _stored(self, key: str, value: Value) -> Stored:
+    def _stored(self, key: str, value: Value) -> StoredAnswer:
         status, content_type = int(value["status"]), str(value["content_type"])
         if "answer" in value:
-            return Stored(status, content_type, str(value["answer"]).encode())
+            return StoredAnswer(status, content_type, str(value["answer"]).encode())
         body = None
         if value["object"]:
             try:
@@ -194,7 +194,7 @@
             except services_api.PlatformError as exc:
                 eventlog.warning("claim-answer-unread", key=key, error=exc)
         # Without its body the outcome still says that it ran, and how it ended.
-        return Stored(status, content_type, body or b"{}")
+        return StoredAnswer(status, content_type, body or b"{}")
 
     def _store_body(self, key: str, body: bytes) -> bool:
         try:
@@ -208,7 +208,7 @@
         outcome = Claim(claim.key, claim.version, value)
         patience = self._clock.now() + OUTCOME_PATIENCE_S
         fut = self._batcher.submit(
-            services_api.Op(claim.key, claim.version, value), patience
+            services_api.TableOp(claim.key, claim.version, value), patience
         )
         try:
             fut.result()
@@ -229,7 +229,7 @@
             row = self._table.read([claim.key])[0]
             if not self._needs_write(claim, row):
                 return True
-            op = services_api.Op(claim.key, row.version, claim.value)
+            op = services_api.TableOp(claim.key, row.version, claim.value)
             return self._table.transact([op]).ok
         except services_api.PlatformError:
             return False
--- a/gaprock/clock.py
+++ b/gaprock/clock.py
@@ -76,7 +76,7 @@
         return time.monotonic()
 
 
-class StandingClock(Clock):
+class MonotonicClock(Clock):
     """The clock of all waits of the system: it stands while a machine is suspended."""
 
     __slots__ = ()
@@ -85,7 +85,7 @@
         return time.monotonic()
 
 
-class GapWatch:
+class GapDetector:
     """Notices that this process did nothing for a while; ``look`` is called often.
 
     :param most_s: between two looks, if nothing holds the process up, seconds.
@@ -97,7 +97,7 @@
         self, clock_: Clock, most_s: float, standing: Clock | None = None
     ) -> None:
         self._clock = clock_
-        self._standing = standing or StandingClock()
+        self._standing = standing or MonotonicClock()
         self._most_s = most_s
         self._looked_at = clock_.now()
         self._ahead_s = self._looked_at - self._standing.now()
--- a/gaprock/config_store.py
+++ b/gaprock/config_store.py
@@ -71,7 +71,7 @@
         key: str,
         document: Value | None,
         expected: int,
-        conditions: typing.Sequence[services_api.Op] = (),
+        conditions: typing.Sequence[services_api.TableOp] = (),
     ) -> int:
         """Publish one change on condition that ``expected`` is the newest revision.
 
@@ -91,13 +91,15 @@
             raise _conflict(revision_of(head))
         revision = expected + 1
         ops = [
-            services_api.Op(HEAD, head.version, {"revision": revision, "txid": txid}),
-            services_api.Op(
+            services_api.TableOp(
+                HEAD, head.version, {"revision": revision, "txid": txid}
+            ),
+            services_api.TableOp(
                 DOC + key,
                 services_api.ANY_VERSION,
                 {"revision": revision, "document": document},
             ),
-            services_api.Op(
+            services_api.TableOp(
                 log_key(revision),
                 services_api.ABSENT,
                 {"revision": revision, "key": key, "document": document, "txid": txid},
@@ -118,11 +120,13 @@
         old = [row for row in rows if row.key < last]
         if old:
             self._table.transact(
-                [services_api.Op(row.key, row.version, delete=True) for row in old]
+                [services_api.TableOp(row.key, row.version, delete=True) for row in old]
             )
         return len(old)
 
-    def _commit(self, ops: list[services_api.Op], revision: int, txid: str) -> None:
+    def _commit(
+        self, ops: list[services_api.TableOp], revision: int, txid: str
+    ) -> None:
         """Carry out a publication, and settle it when an answer is lost.
 
         The steps may be sent again: their conditions hold for one time only, and
--- a/gaprock/endpoint_notices.py
+++ b/gaprock/endpoint_notices.py
@@ -54,7 +54,7 @@
         :param sent_at: when the request was sent that it answers.
         """
         notice, incarnation = head.notice, endpoint.incarnation
-        for text in notice.odd:
+        for text in notice.invalid:
             self._note_odd(endpoint, text)
         # What another endpoint does not say is no word of this one.
         if not head.wrong_endpoint or notice.limit.per_s is not None:
--- a/gaprock/entry_budget.py
+++ b/gaprock/entry_budget.py
@@ -28,7 +28,7 @@
             self.first += 1
             self._saved = min(MAX_SAVED, self._saved + self._share)
 
-    def take_second(self) -> bool:
+    def spend_retry(self) -> bool:
         """Ask for a second try.
 
         :returns: false when the budget is used up.
--- a/gaprock/entry_dispatch.py
+++ b/gaprock/entry_dispatch.py
@@ -212,7 +212,7 @@
             attempt.wait_first(call.deadline + DEADLINE_GRACE_S, self._clock)
         except errors.GaprockError as exc:
             self._note_failure(call, version, attempt, progress, link)
-            link.close(attempt, void=self._is_retried(call, exc))
+            link.close(attempt, is_superseded=self._is_retried(call, exc))
             raise
         return Tried(link, attempt)
 
@@ -253,7 +253,7 @@
             repeatable=call.template.repeatable,
             bill_key=call.bill_key,
             cost=costs.get(version, 0.0),
-            prior=progress.lines,
+            earlier_lines=progress.lines,
             window=self._cfg.window,
             path=call.path,
             body=call.body_for(version),
@@ -269,7 +269,7 @@
 
     def _may_retry(self, call: entry_call.Call, exc: errors.GaprockError) -> bool:
         in_time = self._clock.now() < call.deadline
-        return in_time and self._is_retried(call, exc) and self.budget.take_second()
+        return in_time and self._is_retried(call, exc) and self.budget.spend_retry()
 
     def no_endpoint(self, detail: str) -> errors.GaprockError:
         retry_at = self._clock.now() + NO_ENDPOINT_RETRY_S * (1 + self._rng.random())
--- a/gaprock/entry_duties.py
+++ b/gaprock/entry_duties.py
@@ -159,7 +159,7 @@
             for load in self._links.endpoints()
             if load.kind == "engine"
         ]
-        demands = demands_of(self._config, now)
+        demands = expected_demands(self._config, now)
         for move in self._placement.plan(states, demands):
             self._order(move)
         self._orders_until = now + ORDER_WAIT_S
@@ -193,7 +193,7 @@
         self._collect_after = rows[-1].key if len(rows) == COLLECT_PAGE else ""
         horizon = self._clock.now() - 2 * ids.RETENTION_S
         old = [
-            services_api.Op(row.key, row.version, delete=True)
+            services_api.TableOp(row.key, row.version, delete=True)
             for row in rows
             if row.value is not None and float(row.value["deadline"]) < horizon
         ]
@@ -202,7 +202,7 @@
             eventlog.info("claims-collected", count=len(old))
 
 
-def demands_of(config_: config.Config, now: float) -> list[policy_api.Demand]:
+def expected_demands(config_: config.Config, now: float) -> list[policy_api.Demand]:
     """Give the work that each version is expected to get soon.
 
     Every version that a template allows counts, so that it stands somewhere; a
--- a/gaprock/entry_guard.py
+++ b/gaprock/entry_guard.py
@@ -52,7 +52,7 @@
             stable_answers=stable.answers,
             stable_bad=stable.bad,
         )
-        self._publisher.urge(
+        self._publisher.publish_urgent(
             documents.Halt(
                 rollout.version,
                 rollout.attempt,
--- a/gaprock/entry_link.py
+++ b/gaprock/entry_link.py
@@ -61,7 +61,7 @@
         clock_: clock.Clock,
         config_: config.Config,
         evidence_: evidence.EvidenceBook,
-        bills_: bills.BillBook,
+        bills_: bills.BillBuffer,
         identity: str,
     ) -> None:
         self.cfg = cfg
@@ -162,25 +162,27 @@
         """Tell the agent how many parts were taken; it opens the window again."""
         self._mailbox.put(messages.Ack(attempt.number, attempt.taken))
 
-    def close(self, attempt: entry_attempt.Attempt, void: bool = False) -> None:
+    def close(
+        self, attempt: entry_attempt.Attempt, is_superseded: bool = False
+    ) -> None:
         """Forget an attempt; what still comes for it is dropped.
 
-        :param void: another attempt takes its place, so it is not billed.
+        :param is_superseded: another attempt takes its place, so it is not billed.
         """
         with self._lock:
             if self._attempts.pop(attempt.number, None) is None:
                 return
             attempt.closed = True
-            if void:
+            if is_superseded:
                 self._void.append(attempt.number)
             self._add_sent(attempt.start.endpoint, -1)
         end = attempt.outcome
-        if void and end is not None and end.bill is not None:
+        if is_superseded and end is not None and end.bill is not None:
             self._mailbox.put(messages.BillsReleased([end.bill.key]))
         if end is not None and attempt.next_part >= end.count:
             self._mailbox.put(messages.Ack(attempt.number, end.count))
         else:
-            self._mailbox.put(messages.Cancel(attempt.number, void))
+            self._mailbox.put(messages.Cancel(attempt.number, is_superseded))
 
     def send(self, msg: messages.Message) -> None:
         """Send any other message."""
@@ -352,9 +354,9 @@
             return
         attempt.asked_at = self.heard_at
         # Before the end itself, so that whoever waits for it knows.
-        if msg.ended_life:
+        if msg.ended_incarnation:
             mark = attempt.start.mark
-            self.shared.quarantine.note(mark, msg.ended_life, msg.weight)
+            self.shared.quarantine.note(mark, msg.ended_incarnation, msg.weight)
         elif msg.code == errorcodes.OK and not self.shared.quarantine.is_empty:
             self.shared.quarantine.clear(attempt.start.mark)
         if not attempt.finish(msg):
@@ -392,7 +394,7 @@
 
     @handle.register
     def _(self, msg: messages.BillsReleased) -> None:
-        self.shared.bills.drop(msg.keys)
+        self.shared.bills.forget(msg.keys)
 
     @handle.register
     def _(self, msg: messages.BillsHandover) -> None:
--- a/gaprock/entry_main.py
+++ b/gaprock/entry_main.py
@@ -69,7 +69,7 @@
         identity = f"{cfg.vm}/{ids.new_token()}"
         self.config = config.Config()
         self.evidence = evidence.EvidenceBook(identity)
-        self.bills = bills.BillBook(
+        self.bills = bills.BillBuffer(
             platform.table, bills.ENTRY, cfg.max_bills, self.clock
         )
         self.bills.written = self._bills_written
@@ -188,7 +188,7 @@
             task.stop()
         self.duties.stop()
         self.judge.stop()
-        self._part_with_bills()
+        self._flush_bills()
         self._settle_claims()
         self.batcher.stop()
         self.links.stop()
@@ -199,7 +199,7 @@
             periodic.Periodic("config", cfg.config_poll_s, self.publisher.refresh),
             periodic.Periodic("vm-list", cfg.vm_poll_s, self._follow_vms),
             periodic.Periodic("bills", cfg.bill_write_s, self._write_bills),
-            periodic.Periodic("claims", SETTLE_S, self.claims.settle_open),
+            periodic.Periodic("claims", SETTLE_S, self.claims.write_open_outcomes),
             periodic.Periodic(
                 "urgent", cfg.config_poll_s, self.publisher.accept_urgent
             ),
@@ -220,13 +220,13 @@
         if link is not None:
             link.send(messages.BillsReleased(keys))
 
-    def _part_with_bills(self) -> None:
+    def _flush_bills(self) -> None:
         """Write the last bills, or hand them to an agent while the table is down."""
         try:
             self._write_bills()
         except services_api.PlatformError as exc:
             eventlog.warning("platform-down", task="last-bills", error=exc)
-        held = self.bills.take_all()
+        held = self.bills.copy_all()
         usable = [link for link in self.links.all() if link.usable]
         usable.sort(key=lambda link: link.heard_at, reverse=True)
         for link in usable[: bills.HANDOVER_COPIES]:
@@ -236,7 +236,7 @@
         eventlog.info("bills-left", handed_over=len(held), lost=len(self.bills))
 
     def _settle_claims(self) -> None:
-        if self.claims.settle_open():
+        if self.claims.write_open_outcomes():
             eventlog.warning("claims-left-open")
 
 
--- a/gaprock/entry_operator.py
+++ b/gaprock/entry_operator.py
@@ -142,7 +142,7 @@
             return self._get(name, rest)
         if method == "POST" and name == "withdraw":
             withdrawal = documents.parse(documents.Withdrawal, raw)
-            return _published(self._publisher.urge(withdrawal))
+            return _published(self._publisher.publish_urgent(withdrawal))
         if method == "PUT":
             return self._put(name, headers, raw)
         if method == "DELETE" and name == "documents":
--- a/gaprock/entry_publish.py
+++ b/gaprock/entry_publish.py
@@ -52,7 +52,7 @@
         self,
         document: documents.Document,
         expected: int,
-        conditions: typing.Sequence[services_api.Op] = (),
+        conditions: typing.Sequence[services_api.TableOp] = (),
     ) -> Published:
         """Publish a document on condition of the newest revision.
 
@@ -82,7 +82,7 @@
         self._spread(key, revision)
         return Published(key, revision, True)
 
-    def urge(self, document: documents.Document) -> Published:
+    def publish_urgent(self, document: documents.Document) -> Published:
         """Put a withdrawal or halt in force at once, then have it accepted.
 
         :returns: ``accepted`` is false while the table is down.
--- a/gaprock/entry_serve.py
+++ b/gaprock/entry_serve.py
@@ -54,7 +54,7 @@
         config_: config.Config,
         links: entry_links.Links,
         claims_: claims.Claims,
-        bills_: bills.BillBook,
+        bills_: bills.BillBuffer,
         judge: entry_judge.Judge,
         cascade: policy_api.Cascade,
         dispatcher: entry_dispatch.Dispatcher,
@@ -102,7 +102,9 @@
         :param name: the session's id; the same id gives the same choice while
             the configuration stays the same.
         """
-        allowed = self._available(entry_versions.rule(self._config, template, name))
+        allowed = self._available(
+            entry_versions.allowed_versions(self._config, template, name)
+        )
         choice = self._cascade.choose(template, allowed, can_escalate=False)
         version = choice.versions[0] if choice else allowed[-1]
         return sessions.Session(name, template.workspace, template.name, version)
@@ -128,7 +130,7 @@
         retry_at = self._clock.now() + OPEN_RETRY_S * (1 + self._rng.random())
         if self.leaving:
             raise errors.GaprockError(errorcodes.LEAVING, self._cfg.vm, retry_at)
-        if self._bills.full:
+        if self._bills.is_full:
             raise errors.GaprockError(errorcodes.BILLS_FULL, self._cfg.vm, retry_at)
         with self._idle:
             if self._open >= self._cfg.max_open:
@@ -163,7 +165,9 @@
                 "versions", call.request, choice=version, reason="session"
             )
             return choice
-        ruled = entry_versions.rule(self._config, call.template, call.request)
+        ruled = entry_versions.allowed_versions(
+            self._config, call.template, call.request
+        )
         allowed = self._available(ruled)
         choice = self._cascade.choose(
             call.template, allowed, can_escalate=not call.stream
@@ -304,7 +308,7 @@
         claim = self._claims.take(
             call.workspace, call.request, call.digest, call.deadline
         )
-        if isinstance(claim, claims.Stored):
+        if isinstance(claim, claims.StoredAnswer):
             answer = answers.Answer(claim.status, claim.content_type, claim.body)
             answer.headers["X-Gaprock-Replayed"] = "true"
             return answer
--- a/gaprock/entry_sessions.py
+++ b/gaprock/entry_sessions.py
@@ -68,7 +68,7 @@
             "version": session.version,
             "txid": ids.new_token(),
         }
-        op = services_api.Op(
+        op = services_api.TableOp(
             f"{KEY}{session.workspace}/{session.session}", services_api.ABSENT, value
         )
         now = self._clock.now()
--- a/gaprock/entry_versions.py
+++ b/gaprock/entry_versions.py
@@ -36,7 +36,9 @@
     return rollout.steps[rollout.step]
 
 
-def rule(config_: config.Config, template: documents.Template, subject: str) -> Ruled:
+def allowed_versions(
+    config_: config.Config, template: documents.Template, subject: str
+) -> Ruled:
     """Rule out the versions that a new request may not run on.
 
     :param subject: the id that decides on which side of a rollout it falls.
--- a/gaprock/event_source.py
+++ b/gaprock/event_source.py
@@ -21,7 +21,7 @@
         self.attempt = attempt
         self._clock = clock_
         self._directory = directory_
-        self._splitter = event_stream.Splitter()
+        self._splitter = event_stream.EventSplitter()
 
     def next_events(self, deadline: float) -> list[event_stream.Event]:
         """Wait for events; none is the stream's whole end.
@@ -35,7 +35,7 @@
             except http_exchange.Broken as exc:
                 raise Broken(str(exc)) from exc
             if data is None:
-                if self._splitter.torn:
+                if self._splitter.is_incomplete:
                     raise Broken("ended in the middle of an event")
                 return []
             self._directory.heard(self.attempt.endpoint)
--- a/gaprock/event_stream.py
+++ b/gaprock/event_stream.py
@@ -21,7 +21,7 @@
     number: int | None
 
 
-class Splitter:
+class EventSplitter:
     """Collects bytes and gives the events that are whole."""
 
     __slots__ = ("_rest",)
@@ -30,7 +30,7 @@
         self._rest = b""
 
     @property
-    def torn(self) -> bool:
+    def is_incomplete(self) -> bool:
         """Whether a part of an event is left over."""
         return bool(self._rest.strip())
 
--- a/gaprock/followers.py
+++ b/gaprock/followers.py
@@ -230,7 +230,7 @@
                     continue
             except gateway_api.StoreError as exc:
                 self._record_disconnect(exc)
-                self._rest_from_store(pause_s, exc.retry_s)
+                self._rest_from_store(pause_s, exc.retry_after_s)
                 pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
                 continue
             except Exception as exc:
@@ -242,12 +242,12 @@
             if not self._times_gone:
                 pause_s = FIRST_PAUSE_S
 
-    def _rest_from_store(self, pause_s: float, retry_s: float = 0.0) -> None:
+    def _rest_from_store(self, pause_s: float, retry_after_s: float = 0.0) -> None:
         """Wait before the next try, longer for as long as others try for us.
 
-        :param retry_s: for which the store wants no calls.
+        :param retry_after_s: for which the store wants no calls.
         """
-        began = self._clock.now() + retry_s
+        began = self._clock.now() + retry_after_s
         share = self._rng.uniform(0.5, 1.0)
         try_at, left_at = began + share * pause_s, began + share * LEFT_PAUSE_S
         while not self._stopped.is_set():
--- a/gaprock/gateway_api.py
+++ b/gaprock/gateway_api.py
@@ -53,19 +53,19 @@
 class StoreError(Exception):
     """The store did not answer, or refused; for a write the outcome may be open.
 
-    :param retry_s: seconds after which to ask again, if the store said so.
+    :param retry_after_s: seconds after which to ask again, if the store said so.
     """
 
-    def __init__(self, detail: str, retry_s: float = 0.0) -> None:
+    def __init__(self, detail: str, retry_after_s: float = 0.0) -> None:
         super().__init__(detail)
-        self.retry_s = retry_s
+        self.retry_after_s = retry_after_s
 
 
 class HistoryGone(Exception):
     """The store no longer knows the changes since a version: read anew."""
 
 
-class Poll:
+class LongPoll:
     """A call that the store holds until there are changes."""
 
     __slots__ = ()
@@ -110,7 +110,7 @@
         """
         raise NotImplementedError
 
-    def poll(self, table: str, since: int, wait_s: float) -> Poll:
+    def poll(self, table: str, since: int, wait_s: float) -> LongPoll:
         """Begin to wait for changes of a table after a version.
 
         :param wait_s: how long the store may hold the call, seconds.
@@ -211,11 +211,11 @@
 
     :param per_s: the requests a second that it takes from all gateways together;
         ``None`` where it names no limit.
-    :param odd: what stands in its place and is no such number; empty otherwise.
+    :param invalid: what stands in its place and is no such number; empty otherwise.
     """
 
     per_s: float | None = None
-    odd: str = ""
+    invalid: str = ""
 
 
 NO_LIMIT: typing.Final = LimitNotice()
@@ -228,13 +228,13 @@
     :param is_leaving: whether it leaves.
     :param backoff_s: how long it wants no requests from this gateway, seconds; 0 where
         it asks for no backoff.
-    :param odd: headers whose values cannot be used, as ``name: value``.
+    :param invalid: headers whose values cannot be used, as ``name: value``.
     """
 
     limit: LimitNotice = NO_LIMIT
     is_leaving: bool = False
     backoff_s: float = 0.0
-    odd: tuple[str, ...] = ()
+    invalid: tuple[str, ...] = ()
 
 
 NO_NOTICE: typing.Final = EndpointNotice()
@@ -293,7 +293,7 @@
         """Decode the head of an answer."""
         raise NotImplementedError
 
-    def refusal_headers(self, retry_s: float | None) -> Headers:
+    def refusal_headers(self, retry_after_s: float | None) -> Headers:
         """Give the headers of a refusal with the time to come back."""
         raise NotImplementedError
 
@@ -311,7 +311,7 @@
         """
         raise NotImplementedError
 
-    def emptied_hall(self, key: str) -> str | None:
+    def cordoned_hall(self, key: str) -> str | None:
         """Decode an order to empty a hall; ``None`` for a row that is none.
 
         The row has the order while it stands, whatever it holds.
--- a/gaprock/gateway_attempt.py
+++ b/gaprock/gateway_attempt.py
@@ -9,11 +9,11 @@
 from gaprock import clock, directory, endpoint_state, gateway_api, http_exchange
 
 DEADLINE: typing.Final = "deadline"
-STARTED_AGAIN: typing.Final = "endpoint started again"
+RESTARTED: typing.Final = "endpoint started again"
 UNREACHABLE: typing.Final = "endpoint unreachable"
 HELD: typing.Final = "request is held back"
 # Reasons for which nothing more comes, whether the call may be sent again or not.
-FINAL: typing.Final = (DEADLINE, STARTED_AGAIN, HELD)
+FINAL_REASONS: typing.Final = (DEADLINE, RESTARTED, HELD)
 # Statuses from here on are no success, and from there on the endpoint's own failures.
 SUCCESS_END: typing.Final = 300
 SERVER_ERROR: typing.Final = 500
@@ -36,8 +36,8 @@
         "exchange",
         "head",
         "sent_at",
-        "begun_at",
-        "ahead",
+        "head_at",
+        "unread_before",
         "prompt",
         "is_judged",
         "_is_waiting",
@@ -55,7 +55,7 @@
         self.model = model
         self.exchange = exchange
         # Unread tokens at the endpoint when it was sent.
-        self.ahead = 0.0
+        self.unread_before = 0.0
         self.prompt = prompt
         # Whether it was taken as evidence on its version.
         self.is_judged = False
@@ -64,23 +64,23 @@
         self.head: gateway_api.AnswerHead
         self.sent_at = 0.0
         # When the head came; ``NEVER`` before.
-        self.begun_at = clock.NEVER
+        self.head_at = clock.NEVER
         self._done = False
 
-    def begun_for(self, now: float) -> float:
+    def answer_age_s(self, now: float) -> float:
         """Give the seconds since its answer began; -1 before that."""
-        return -1.0 if self.begun_at == clock.NEVER else now - self.begun_at
+        return -1.0 if self.head_at == clock.NEVER else now - self.head_at
 
-    def note_read(self, directory_: directory.Directory) -> None:
+    def record_prefilled(self, directory_: directory.Directory) -> None:
         """Note that the endpoint has read the prompt; again does nothing."""
         if self._is_waiting:
             self._is_waiting = False
             directory_.read(self.endpoint, self.prompt)
 
     @property
-    def tokens_ahead(self) -> float:
+    def prefill_tokens(self) -> float:
         """Unread tokens when it was sent, its own prompt included."""
-        return self.ahead + self.prompt.reading
+        return self.unread_before + self.prompt.reading
 
     def finish(self, directory_: directory.Directory) -> None:
         """Close the connection and count the request out; again does nothing."""
--- a/gaprock/gateway_call.py
+++ b/gaprock/gateway_call.py
@@ -84,14 +84,14 @@
         "sends",
         "excluded",
         "has_run",
-        "failed_on",
+        "failed_versions",
         "service",
         "model",
         "endpoint",
-        "opinion",
+        "last_answer",
         "status",
-        "first_at",
-        "wrote_at",
+        "first_write_at",
+        "last_write_at",
         "longest_gap_s",
         "events",
         "_mark",
@@ -125,18 +125,18 @@
         # Whether an endpoint may have begun to run it.
         self.has_run = False
         # Versions whose answers to it were failures.
-        self.failed_on: set[str] = set()
+        self.failed_versions: set[str] = set()
         # What the answer came from, for the log.
         self.model = ""
         self.endpoint = ""
         # The status that the caller got from an endpoint; 0 for none.
         self.status = 0
         # The model that was asked last, and its confidence.
-        self.opinion: tuple[str, float | None] = ("", None)
+        self.last_answer: tuple[str, float | None] = ("", None)
         # When the caller got the first and the last bytes, and the longest pause
         # between two writes, seconds.
-        self.first_at = 0.0
-        self.wrote_at = 0.0
+        self.first_write_at = 0.0
+        self.last_write_at = 0.0
         self.longest_gap_s = 0.0
         # Events that the caller got.
         self.events = 0
@@ -152,20 +152,20 @@
             )
         return self._mark
 
-    def is_alike(self, other: "Call") -> bool:
+    def is_same_request(self, other: "Call") -> bool:
         """Whether two calls are tries of one request; hashes likely ones alone."""
         if self.inbound.path != other.inbound.path:
             return False
         is_same_size = len(self.inbound.body) == len(other.inbound.body)
         return is_same_size and self.mark == other.mark
 
-    def note_write(self, now: float) -> None:
+    def record_write(self, now: float) -> None:
         """Note that the caller is given bytes."""
-        if self.first_at:
-            self.longest_gap_s = max(self.longest_gap_s, now - self.wrote_at)
+        if self.first_write_at:
+            self.longest_gap_s = max(self.longest_gap_s, now - self.last_write_at)
         else:
-            self.first_at = now
-        self.wrote_at = now
+            self.first_write_at = now
+        self.last_write_at = now
 
     @property
     def place(self) -> int:
@@ -195,23 +195,26 @@
         return self.inbound.arrived_at + self.route.goal_s
 
 
-class GivenUp(Exception):
+class CallError(Exception):
     """A call gets a final answer of our own.
 
     :param code: the registered result code.
-    :param retry_s: seconds after which to come back, for one that was not run.
+    :param retry_after_s: seconds after which to come back, for one that was not run.
     """
 
     def __init__(
-        self, code: errorcodes.ErrorCode, detail: str, retry_s: float | None = None
+        self,
+        code: errorcodes.ErrorCode,
+        detail: str,
+        retry_after_s: float | None = None,
     ) -> None:
-        super().__init__(code, detail, retry_s)
+        super().__init__(code, detail, retry_after_s)
         self.code = code
         self.detail = detail
-        self.retry_s = retry_s
+        self.retry_after_s = retry_after_s
 
 
-def session_mark(call: Call) -> str:
+def session_hash(call: Call) -> str:
     """Give a short name of a call's session for the log; ``none`` if it names none."""
     if not call.is_in_session:
         return "none"
--- a/gaprock/gateway_choose.py
+++ b/gaprock/gateway_choose.py
@@ -117,7 +117,7 @@
             good=len(good),
             choice=chosen.name,
             version=chosen.row.version,
-            session=gateway_call.session_mark(call),
+            session=gateway_call.session_hash(call),
             load=chosen.load,
             unread=self._directory.unread(chosen),
             reading=prompt.reading,
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -100,8 +100,8 @@
     def _refuse_hopeless(self, call: gateway_call.Call) -> None:
         """Give a call up at once that nobody can run now.
 
-        :raises gateway_call.GivenUp: when its halls are emptied, or each endpoint that
-            may run it is gone or took no connection a moment ago.
+        :raises gateway_call.CallError: when its halls are emptied, or each endpoint
+            that may run it is gone or took no connection a moment ago.
         """
         if self._chooser.has_no_permitted_hall(call):
             raise self._shut_out(call)
@@ -132,7 +132,7 @@
         """Wait in line for endpoints that take only so many requests a second.
 
         :returns: ``None`` when there are none of these any more.
-        :raises gateway_call.GivenUp: as soon as the turn will come too late.
+        :raises gateway_call.CallError: as soon as the turn will come too late.
         """
         latest_at = call.inbound.arrived_at + TURN_SHARE * call.route.goal_s
         latest_at = min(latest_at, call.deadline)
@@ -158,7 +158,7 @@
 
     def _paced_out(
         self, call: gateway_call.Call, turn: rate_pacing.Turn
-    ) -> gateway_call.GivenUp:
+    ) -> gateway_call.CallError:
         """Give a call up whose turn does not come in time."""
         if call.has_run:
             return self.unknown(call, "endpoints take no more")
@@ -166,20 +166,20 @@
         caller_s = call.wait_until - now
         retry_s = self._queue.retry_after_s(call, turn, now, caller_s)
         detail = f"{turn.per_s:.2g} a second, next in {turn.next_at - now:.2g} s"
-        return gateway_call.GivenUp(errorcodes.PACED, detail, retry_s)
+        return gateway_call.CallError(errorcodes.PACED, detail, retry_s)
 
-    def refused(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
+    def refused(self, call: gateway_call.Call, detail: str) -> gateway_call.CallError:
         """Give a call up that no endpoint took."""
         if call.has_run:
             return self.unknown(call, detail)
         if self._clock.now() >= call.deadline:
-            return gateway_call.GivenUp(errorcodes.DEADLINE_PAST, detail, 0.0)
+            return gateway_call.CallError(errorcodes.DEADLINE_PAST, detail, 0.0)
         turn = self._chooser.turn(call)
         if turn is not None and turn.next_at > self._clock.now():
             return self._paced_out(call, turn)
         return self.overloaded(detail, call.wait_until - self._clock.now())
 
-    def _gone(self, call: gateway_call.Call) -> gateway_call.GivenUp:
+    def _gone(self, call: gateway_call.Call) -> gateway_call.CallError:
         """Give a call up whose service is wholly gone."""
         if call.has_run:
             return self.unknown(call, "all endpoints are dark")
@@ -187,22 +187,22 @@
         self._absences.record_outage(call.service, now)
         caller_s = call.wait_until - now
         retry_s = self._absences.retry_after_s(call.service, now, caller_s)
-        return gateway_call.GivenUp(errorcodes.NO_ENDPOINT, "all are dark", retry_s)
+        return gateway_call.CallError(errorcodes.NO_ENDPOINT, "all are dark", retry_s)
 
-    def _shut_out(self, call: gateway_call.Call) -> gateway_call.GivenUp:
+    def _shut_out(self, call: gateway_call.Call) -> gateway_call.CallError:
         """Give a call up at once that may run nowhere while its halls are emptied."""
         if call.has_run:
             return self.unknown(call, "halls emptied")
         retry_s = self._rng.uniform(*COME_BACK_NO_HALL_S)
-        return gateway_call.GivenUp(errorcodes.NO_HALL, "", retry_s)
+        return gateway_call.CallError(errorcodes.NO_HALL, "", retry_s)
 
-    def overloaded(self, detail: str, caller_s: float) -> gateway_call.GivenUp:
+    def overloaded(self, detail: str, caller_s: float) -> gateway_call.CallError:
         """Refuse for want of room; the caller comes back in its turn."""
         retry_s = self._returns.next_s(self._clock.now(), caller_s)
-        return gateway_call.GivenUp(errorcodes.OVERLOADED, detail, retry_s)
+        return gateway_call.CallError(errorcodes.OVERLOADED, detail, retry_s)
 
-    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
+    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.CallError:
         """Give a call up that may have run."""
         if self._clock.now() >= call.deadline:
-            return gateway_call.GivenUp(errorcodes.DEADLINE_RUNNING, detail)
-        return gateway_call.GivenUp(errorcodes.OUTCOME_UNKNOWN, detail)
+            return gateway_call.CallError(errorcodes.DEADLINE_RUNNING, detail)
+        return gateway_call.CallError(errorcodes.OUTCOME_UNKNOWN, detail)
--- a/gaprock/gateway_http.py
+++ b/gaprock/gateway_http.py
@@ -167,7 +167,7 @@
     return REASONS.get(status, "Other")
 
 
-class Port:
+class CallPort:
     """The port for callers.
 
     :param threads: the most threads that serve callers.
--- a/gaprock/gateway_judge.py
+++ b/gaprock/gateway_judge.py
@@ -49,13 +49,13 @@
             return
         attempt.is_judged = True
         version = attempt.endpoint.row.version
-        if failed and version in call.failed_on:
+        if failed and version in call.failed_versions:
             # A request that fails wherever it is sent speaks once: with each of its
             # sends counted, 7 such requests were 14 of 22 answers and halted a good
             # version beside 8 of 40.
             return
         if failed:
-            call.failed_on.add(version)
+            call.failed_versions.add(version)
         took_s = None if call.info.resume_after is not None else self._took(attempt)
         judged = rollout_latency.VersionSample(
             failed, took_s, self._expected(call, attempt)
@@ -103,7 +103,7 @@
         """Take the time between a whole stream's events."""
         if call.events < MIN_PACE_EVENTS:
             return
-        pace_s = (call.wrote_at - call.first_at) / (call.events - 1)
+        pace_s = (call.last_write_at - call.first_write_at) / (call.events - 1)
         judged = rollout_latency.VersionSample(False, pace_s)
         self._judge(call, attempt, f"{call.route.name}~pace", judged)
 
@@ -117,9 +117,9 @@
 
         The endpoints of an unproved version have fuller queues than others.
         """
-        if not attempt.tokens_ahead:
+        if not attempt.prefill_tokens:
             return None
-        return self._directory.pace.expect(call.service, attempt.tokens_ahead)
+        return self._directory.pace.expect(call.service, attempt.prefill_tokens)
 
     def _judge(
         self,
--- a/gaprock/gateway_models.py
+++ b/gaprock/gateway_models.py
@@ -88,7 +88,7 @@
         ask = self._ask(call)
         self._learn(call, attempt)
         larger = self._choice.escalate(ask, attempt.model, head.confidence)
-        call.opinion = (attempt.model, head.confidence)
+        call.last_answer = (attempt.model, head.confidence)
         eventlog.info(
             "model",
             request=call.info.request,
@@ -103,7 +103,7 @@
 
     def _learn(self, call: gateway_call.Call, attempt: gateway_attempt.Attempt) -> None:
         """Compare a larger model's opinion of its answer with the smaller one's."""
-        model, before = call.opinion
+        model, before = call.last_answer
         after = attempt.head.confidence
         if model != attempt.model and before is not None and after is not None:
             self._choice.learn(model, before, attempt.model, after)
@@ -116,10 +116,10 @@
         if self._rollouts.is_canary(call.service, attempt.endpoint.row.version):
             return
         pace = self._directory.pace
-        pace.observe(call.service, attempt.tokens_ahead, took_s)
+        pace.observe(call.service, attempt.prefill_tokens, took_s)
         service = self._services().get(call.service)
         if service is not None and attempt.model and attempt.prompt.reading:
-            ahead_share = attempt.ahead / attempt.prompt.reading
+            ahead_share = attempt.unread_before / attempt.prompt.reading
             tokens = attempt.prompt.tokens
             pace.observe_model(service, attempt.model, tokens, ahead_share, took_s)
 
--- a/gaprock/gateway_node.py
+++ b/gaprock/gateway_node.py
@@ -179,7 +179,7 @@
         self.server = self._make_server()
         self.leaving = False
         threads = self._max_calls() + SPARE_THREADS
-        self.port = gateway_http.Port(
+        self.port = gateway_http.CallPort(
             gateway_http.parse_address(cfg.listen),
             threads,
             self.server.serve,
@@ -201,7 +201,7 @@
             periodic.Periodic("housekeeping", HOUSEKEEPING_S, self._keep_house),
             periodic.Periodic("clocks", CLOCKS_S, self._look_at_clocks),
         ]
-        self._gaps = clock.GapWatch(clock_, CLOCKS_MOST_S)
+        self._gaps = clock.GapDetector(clock_, CLOCKS_MOST_S)
         self._limits_of = -1
 
     # -- Start and stop --
@@ -223,15 +223,15 @@
         grace_s = self.cfg.bounds.grace_s
         self.leaving = True
         self.mesh.leaving = True
-        self.server.take_all_until = now + min(TAKE_ALL_S, TAKE_ALL_SHARE * grace_s)
-        self.server.end_at = now + END_AT * grace_s
+        self.server.accept_all_until = now + min(TAKE_ALL_S, TAKE_ALL_SHARE * grace_s)
+        self.server.stop_deadline = now + END_AT * grace_s
         eventlog.info("leaving", open=self.server.open_calls, grace_s=grace_s)
         # Callers come until the balancer has noticed, and longer on kept connections.
         clock.sleep_until(now + min(LINGER_S, 0.5 * grace_s), self.clock)
-        drained = self.server.wait_idle(self.server.end_at)
+        drained = self.server.wait_idle(self.server.stop_deadline)
         # From here on every request is told to come back, so that none is under way
         # when the process ends; callers on kept connections hear that it closes.
-        self.server.end_at = self.server.take_all_until = self.clock.now()
+        self.server.stop_deadline = self.server.accept_all_until = self.clock.now()
         threading.Event().wait(CLOSING_S)
         self.server.wait_idle(self.clock.now() + CLOSING_S)
         eventlog.info("drained", whole=drained, open=self.server.open_calls)
@@ -421,7 +421,7 @@
             eventlog.warning("not-accepting", open=self.server.open_calls)
         self.directory.forget_gone()
         self.orders.end_restore_grace()
-        self._sender.settle_breaks()
+        self._sender.resolve_breaks()
         self.quarantine.forget_old()
         table = self.orders.table
         if table is not None and table.number != self._limits_of:
--- a/gaprock/gateway_own_rows.py
+++ b/gaprock/gateway_own_rows.py
@@ -154,7 +154,7 @@
         try:
             page = self._store.read(self._table)
         except gateway_api.StoreError as exc:
-            self._retry_s = max(RETRY_S, exc.retry_s)
+            self._retry_s = max(RETRY_S, exc.retry_after_s)
             eventlog.warning("own-rows", error=exc)
             return False
         self._store_clock.record(page.store_now, asked_at, self._clock.now())
@@ -194,7 +194,7 @@
         try:
             self._store.commit([gateway_api.Write(self._table, key, value)])
         except gateway_api.StoreError as exc:
-            self._retry_s = max(RETRY_S, exc.retry_s)
+            self._retry_s = max(RETRY_S, exc.retry_after_s)
             eventlog.warning("announce", error=exc)
             return False
         self._announced_at = self._clock.now()
--- a/gaprock/gateway_quarantine.py
+++ b/gaprock/gateway_quarantine.py
@@ -72,7 +72,7 @@
         """
         if not self.held_s(call):
             return False
-        return attempt.begun_for(self._clock.now()) < quarantine.JUST_BEGUN_S
+        return attempt.answer_age_s(self._clock.now()) < quarantine.JUST_BEGUN_S
 
     def must_wait(self, call: gateway_call.Call) -> bool:
         """Whether a suspected request waits for an earlier try of the same one.
@@ -87,7 +87,7 @@
         for other in before:
             if other is call:
                 return False
-            if other.is_alike(call):
+            if other.is_same_request(call):
                 return True
         return False
 
@@ -119,7 +119,7 @@
         # A plain service answers when it is done, so nothing shows when it began.
         may_wait = call.route.kind is routes.RouteKind.STREAM
         return quarantine.suspicion_weight(
-            attempt.begun_for(self._clock.now()), may_wait
+            attempt.answer_age_s(self._clock.now()), may_wait
         )
 
     def record_broken_answer(
--- a/gaprock/gateway_relay.py
+++ b/gaprock/gateway_relay.py
@@ -24,7 +24,7 @@
 )
 
 
-class Sends(typing.Protocol):
+class SendService(typing.Protocol):
     """What a relay needs of the server: sends and the budget."""
 
     def send(
@@ -42,7 +42,7 @@
     def take_repeat(self, call: gateway_call.Call, reason: str) -> None:
         """Take a repeat out of the budget."""
 
-    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
+    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.CallError:
         """Give a call up that may have run."""
 
 
@@ -66,7 +66,7 @@
         self._gate = gate
 
     def run(
-        self, call: gateway_call.Call, reply: gateway_call.Reply, sends: Sends
+        self, call: gateway_call.Call, reply: gateway_call.Reply, sends: SendService
     ) -> None:
         """Serve a stream."""
         resume_after = call.info.resume_after
@@ -90,7 +90,7 @@
         self,
         call: gateway_call.Call,
         reply: gateway_call.Reply,
-        sends: Sends,
+        sends: SendService,
         model: str,
         resume_after: int | None,
     ) -> tuple[event_source.EventSource, list[event_stream.Event] | None]:
@@ -136,7 +136,10 @@
                 raise
 
     def _first_events(
-        self, call: gateway_call.Call, sends: Sends, source: event_source.EventSource
+        self,
+        call: gateway_call.Call,
+        sends: SendService,
+        source: event_source.EventSource,
     ) -> list[event_stream.Event]:
         """Wait for the first events; none for a stream that has nothing more.
 
@@ -153,7 +156,7 @@
                 reason = self._sender.lost_reason(
                     call, source.attempt, heard_at, patience_s
                 )
-                is_final = reason in gateway_attempt.FINAL
+                is_final = reason in gateway_attempt.FINAL_REASONS
                 if is_final or reason and sends.may_repeat(call):
                     raise event_source.Broken(reason) from exc
 
@@ -161,7 +164,7 @@
         self,
         call: gateway_call.Call,
         attempt: gateway_attempt.Attempt,
-        sends: Sends,
+        sends: SendService,
     ) -> bool:
         """Whether an endpoint's failure is tried elsewhere."""
         failed = attempt.head.status >= gateway_attempt.SERVER_ERROR
@@ -184,7 +187,7 @@
         try:
             body = self._sender.read_whole(call, source.attempt, lambda: False)
         except gateway_attempt.Failed as exc:
-            raise gateway_call.GivenUp(errorcodes.OUTCOME_UNKNOWN, str(exc)) from exc
+            raise gateway_call.CallError(errorcodes.OUTCOME_UNKNOWN, str(exc)) from exc
         reply.whole(head.status, head.headers, body)
 
     # -- After the caller has the head --
@@ -193,7 +196,7 @@
         self,
         call: gateway_call.Call,
         reply: gateway_call.Reply,
-        sends: Sends,
+        sends: SendService,
         first: event_source.EventSource,
         events: list[event_stream.Event],
     ) -> bool:
@@ -232,7 +235,7 @@
         self,
         call: gateway_call.Call,
         reply: gateway_call.Reply,
-        sends: Sends,
+        sends: SendService,
         source: event_source.EventSource,
         events: list[event_stream.Event],
         last: int | None,
@@ -246,7 +249,7 @@
         while True:
             fresh = [e for e in events if not _is_old(e, last)]
             if fresh:
-                call.note_write(self._clock.now())
+                call.record_write(self._clock.now())
                 call.events += len(fresh)
                 reply.write(b"".join(e.raw for e in fresh))
                 numbers = [e.number for e in fresh if e.number is not None]
@@ -267,7 +270,7 @@
     def _look(
         self,
         call: gateway_call.Call,
-        sends: Sends,
+        sends: SendService,
         source: event_source.EventSource,
         heard_at: float,
         last: int | None,
@@ -278,7 +281,7 @@
         reason = self._sender.lost_reason(call, source.attempt, heard_at, patience_s)
         if not reason:
             return
-        if reason in gateway_attempt.FINAL:
+        if reason in gateway_attempt.FINAL_REASONS:
             raise _Stopped(reason, last) from exc
         if last is not None and sends.may_repeat(call):
             raise _Stopped(reason, last) from exc
@@ -287,7 +290,7 @@
         self,
         call: gateway_call.Call,
         reply: gateway_call.Reply,
-        sends: Sends,
+        sends: SendService,
         model: str,
         last: int | None,
         detail: str,
@@ -297,7 +300,7 @@
             sends.take_repeat(call, f"resume after {last}: {detail}")
             try:
                 attempt = sends.send(call, reply, model, last)
-            except (gateway_attempt.Failed, gateway_call.GivenUp) as exc:
+            except (gateway_attempt.Failed, gateway_call.CallError) as exc:
                 detail = str(exc)
                 continue
             if attempt.head.status < gateway_attempt.SUCCESS_END:
--- a/gaprock/gateway_rows.py
+++ b/gaprock/gateway_rows.py
@@ -75,7 +75,7 @@
         One that a restored store lacks stands until the operator has had time to write
         it again.
         """
-        named = [(self._dialect.emptied_hall(row.key), row.value) for row in rows]
+        named = [(self._dialect.cordoned_hall(row.key), row.value) for row in rows]
         ordered = {hall for hall, value in named if hall and value is not None}
         ended = {hall for hall, value in named if hall and value is None}
         if is_restored:
--- a/gaprock/gateway_sender.py
+++ b/gaprock/gateway_sender.py
@@ -75,7 +75,7 @@
         reply.caller.check()
         exchange = http_exchange.Exchange(endpoint.address, reply.caller, self._clock)
         attempt = gateway_attempt.Attempt(endpoint, model, exchange, prompt)
-        attempt.ahead = self._directory.unread(endpoint)
+        attempt.unread_before = self._directory.unread(endpoint)
         self._directory.begin(endpoint, prompt)
         try:
             self._connect(call, attempt)
@@ -151,11 +151,11 @@
                 self.note_break(call, attempt)
                 raise gateway_attempt.Failed(str(exc)) from exc
         self._directory.heard(endpoint)
-        attempt.begun_at = self._clock.now()
+        attempt.head_at = self._clock.now()
         attempt.head = self._dialect.read_answer(raw.status, raw.headers)
         self._note_notice(call, attempt)
         self._check_head(call, attempt)
-        attempt.note_read(self._directory)
+        attempt.record_prefilled(self._directory)
 
     def read_whole(
         self,
@@ -220,7 +220,7 @@
     ) -> str:
         """Say why not to wait on for a silent endpoint; empty to wait on."""
         reason = self.lost_reason(call, attempt, heard_at, self._patience(call))
-        is_final = reason in gateway_attempt.FINAL
+        is_final = reason in gateway_attempt.FINAL_REASONS
         return reason if is_final or may_give_up() else ""
 
     def _patience(self, call: gateway_call.Call) -> float:
@@ -246,7 +246,7 @@
         if now >= call.deadline:
             return gateway_attempt.DEADLINE
         if endpoint.is_over:
-            return gateway_attempt.STARTED_AGAIN
+            return gateway_attempt.RESTARTED
         if self._gate.should_withdraw(call, attempt):
             return gateway_attempt.HELD
         if endpoint.is_unreachable or self._is_dark_now(attempt):
@@ -274,13 +274,13 @@
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt, reason: str
     ) -> None:
         """Take that a send is given up; its endpoint may have ended."""
-        if reason not in (gateway_attempt.UNREACHABLE, gateway_attempt.STARTED_AGAIN):
+        if reason not in (gateway_attempt.UNREACHABLE, gateway_attempt.RESTARTED):
             return
         weight = self._gate.weight(call, attempt)
         if weight:
             self._gate.record_broken_answer(call, attempt.endpoint, weight)
 
-    def settle_breaks(self) -> None:
+    def resolve_breaks(self) -> None:
         """Look at endpoints that broke answers off and were not looked at since."""
         self._gate.resolve_broken(self._connects)
 
@@ -368,5 +368,5 @@
             detail=detail,
             # What failed sends of one request have in common, and how far this one was.
             mark=f"{call.mark:016x}",
-            begun_s=attempt.begun_for(self._clock.now()),
+            begun_s=attempt.answer_age_s(self._clock.now()),
         )
--- a/gaprock/gateway_serve.py
+++ b/gaprock/gateway_serve.py
@@ -93,8 +93,8 @@
         self._idle = threading.Condition()
         # A process that is being replaced takes every request until the first time, and
         # then those whose final answer is due before the second.
-        self.take_all_until = clock.NEVER
-        self.end_at = clock.NEVER
+        self.accept_all_until = clock.NEVER
+        self.stop_deadline = clock.NEVER
 
     @property
     def open_calls(self) -> int:
@@ -123,7 +123,7 @@
             self._run(call, reply)
         except http_exchange.CallerGone:
             result = "caller-gone"
-        except gateway_call.GivenUp as exc:
+        except gateway_call.CallError as exc:
             result = exc.code.name
             self._give_up(reply, exc)
         finally:
@@ -141,7 +141,7 @@
     def _check(self, inbound: gateway_call.Inbound) -> gateway_call.Call:
         """Find the route and the workspace of a request.
 
-        :raises gateway_call.GivenUp: when it is not allowed, or not now.
+        :raises gateway_call.CallError: when it is not allowed, or not now.
         """
         self._await_ready()
         table = self._source.table
@@ -150,7 +150,7 @@
         try:
             info = self._dialect.read_request(inbound.headers)
         except gateway_api.InvalidDocument as exc:
-            raise gateway_call.GivenUp(errorcodes.BAD_REQUEST, str(exc)) from exc
+            raise gateway_call.CallError(errorcodes.BAD_REQUEST, str(exc)) from exc
         route = table.match(info.host, inbound.path)
         if route is None:
             raise self._not_allowed(errorcodes.NOT_FOUND, table)
@@ -158,7 +158,7 @@
         if table.requires_key and not route.public and workspace is None:
             raise self._not_allowed(errorcodes.UNAUTHORIZED, table)
         if not info.request:
-            raise gateway_call.GivenUp(errorcodes.BAD_REQUEST, "no request id")
+            raise gateway_call.CallError(errorcodes.BAD_REQUEST, "no request id")
         wait_s = route.timeout_s if info.wait_s is None else info.wait_s
         self._check_room(route, wait_s)
         service = self._chooser.service(route)
@@ -172,23 +172,23 @@
 
     def _check_room(self, route: routes.Route, caller_s: float) -> None:
         now = self._clock.now()
-        if now >= self.take_all_until and now + route.timeout_s >= self.end_at:
+        if now >= self.accept_all_until and now + route.timeout_s >= self.stop_deadline:
             raise self._come_back(errorcodes.LEAVING, COME_BACK_LEAVING_S)
         if self._open > self._max_calls:
             raise self._finder.overloaded("too many open calls", caller_s)
 
     def _not_allowed(
         self, code: errorcodes.ErrorCode, table: routes.RouteTable
-    ) -> gateway_call.GivenUp:
+    ) -> gateway_call.CallError:
         """Refuse for good, unless a newer configuration may say otherwise."""
         if self._is_stale():
             return self._come_back(errorcodes.BEHIND, COME_BACK_BEHIND_S)
-        return gateway_call.GivenUp(code, f"configuration {table.number}")
+        return gateway_call.CallError(code, f"configuration {table.number}")
 
     def _come_back(
         self, code: errorcodes.ErrorCode, span_s: tuple[float, float], detail: str = ""
-    ) -> gateway_call.GivenUp:
-        return gateway_call.GivenUp(code, detail, self._rng.uniform(*span_s))
+    ) -> gateway_call.CallError:
+        return gateway_call.CallError(code, detail, self._rng.uniform(*span_s))
 
     # -- Sends --
 
@@ -213,7 +213,7 @@
                     continue
                 if kept is None:
                     raise self._finder.unknown(call, str(exc)) from exc
-            except gateway_call.GivenUp:
+            except gateway_call.CallError:
                 # An endpoint's own failure goes before a refusal of ours.
                 if kept is None:
                     raise
@@ -228,7 +228,7 @@
                     self._gate.record_success(call)
             head, body = kept
             call.status = head.status
-            call.note_write(self._clock.now())
+            call.record_write(self._clock.now())
             reply.whole(head.status, head.headers, body)
             return
 
@@ -242,7 +242,7 @@
         """Send a call until an endpoint runs it.
 
         :raises gateway_attempt.Failed: when the last endpoint may have run it.
-        :raises gateway_call.GivenUp: when no endpoint would.
+        :raises gateway_call.CallError: when no endpoint would.
         """
         while True:
             self._refuse_held(call)
@@ -281,7 +281,7 @@
             return
         if call.has_run:
             raise self._finder.unknown(call, gateway_attempt.HELD)
-        raise gateway_call.GivenUp(errorcodes.HELD, f"mark {call.mark:016x}", held_s)
+        raise gateway_call.CallError(errorcodes.HELD, f"mark {call.mark:016x}", held_s)
 
     def may_repeat(self, call: gateway_call.Call) -> bool:
         """Whether a call that may have run may be sent again."""
@@ -307,7 +307,7 @@
             return False
         return self._budget.left(call.service, now) >= 1.0
 
-    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.GivenUp:
+    def unknown(self, call: gateway_call.Call, detail: str) -> gateway_call.CallError:
         """Give a call up that may have run."""
         return self._finder.unknown(call, detail)
 
@@ -331,10 +331,10 @@
 
     # -- Ends --
 
-    def _give_up(self, reply: gateway_call.Reply, exc: gateway_call.GivenUp) -> None:
+    def _give_up(self, reply: gateway_call.Reply, exc: gateway_call.CallError) -> None:
         text = errors.explain(exc.code, exc.detail)
         body = f'{{"code": {exc.code.number}, "message": {eventlog.json_text(text)}}}'
-        headers = [JSON, *self._dialect.refusal_headers(exc.retry_s)]
+        headers = [JSON, *self._dialect.refusal_headers(exc.retry_after_s)]
         try:
             reply.whole(exc.code.http_status, headers, body.encode())
         except http_exchange.CallerGone:
@@ -349,8 +349,12 @@
         took_s = self._clock.now() - inbound.arrived_at
         name = call.route.name if call else "none"
         self._metrics.requests.labels(name, result).inc()
-        first_s = call.first_at - inbound.arrived_at if call and call.first_at else 0.0
-        if call is not None and call.first_at:
+        first_s = (
+            call.first_write_at - inbound.arrived_at
+            if call and call.first_write_at
+            else 0.0
+        )
+        if call is not None and call.first_write_at:
             self._metrics.first_byte.labels(name).observe(first_s)
             self._metrics.whole.labels(name).observe(took_s)
         eventlog.info(
--- a/gaprock/gateway_store.py
+++ b/gaprock/gateway_store.py
@@ -35,7 +35,7 @@
     def changes(self, table: str, since: int) -> gateway_api.Page:
         return self._count("changes", table, lambda: self._store.changes(table, since))
 
-    def poll(self, table: str, since: int, wait_s: float) -> gateway_api.Poll:
+    def poll(self, table: str, since: int, wait_s: float) -> gateway_api.LongPoll:
         return self._count(
             "poll", table, lambda: self._store.poll(table, since, wait_s)
         )
--- a/gaprock/lease.py
+++ b/gaprock/lease.py
@@ -47,9 +47,9 @@
         """Whether we hold the lease, as far as we know."""
         return self._clock.now() < self.until
 
-    def condition(self) -> services_api.Op:
+    def condition(self) -> services_api.TableOp:
         """Give the condition that our lease is still the one in the table."""
-        return services_api.Op(KEY, self._version, check_only=True)
+        return services_api.TableOp(KEY, self._version, check_only=True)
 
     def refresh(self) -> bool:
         """Take or renew the lease if that is possible.
@@ -78,7 +78,7 @@
         value = {"holder": "", "epoch": self.epoch, "until": 0.0}
         self.until = 0.0
         try:
-            self._table.transact([services_api.Op(KEY, self._version, value)])
+            self._table.transact([services_api.TableOp(KEY, self._version, value)])
         except services_api.PlatformError:
             # It lapses by itself.
             return
@@ -88,7 +88,9 @@
         until = asked_at + self._lease_s
         value = {"holder": self._holder, "epoch": epoch, "until": until, "txid": txid}
         try:
-            done = self._table.transact([services_api.Op(KEY, row.version, value)]).ok
+            done = self._table.transact(
+                [services_api.TableOp(KEY, row.version, value)]
+            ).ok
         except services_api.AnswerLost:
             found = self._table.read([KEY])[0]
             done = found.value is not None and found.value.get("txid") == txid
--- a/gaprock/messages.py
+++ b/gaprock/messages.py
@@ -167,7 +167,7 @@
     bill_key: str
     cost: float
     # Earlier versions of the same cascade; the bill names them too.
-    prior: list[BillLine]
+    earlier_lines: list[BillLine]
     # Parts that may be under way unacknowledged.
     window: int
     path: str
@@ -198,11 +198,11 @@
 class Cancel(Message):
     """Entry to agent: nobody waits for this attempt any more.
 
-    ``void`` says that another attempt takes its place, so it is not billed.
+    ``is_superseded`` says that another attempt takes its place, so it is not billed.
     """
 
     attempt: int
-    void: bool = False
+    is_superseded: bool = False
 
 
 class Refused(Message):
@@ -243,7 +243,7 @@
     bill: Bill | None
     # The life of the endpoint that ended under the attempt, if it did, and what that
     # says against the request.
-    ended_life: str = ""
+    ended_incarnation: str = ""
     weight: int = 0
 
 
--- a/gaprock/platform/notices.py
+++ b/gaprock/platform/notices.py
@@ -17,25 +17,27 @@
 # A refusal with one of these statuses may ask for a backoff.
 BACKOFF_STATUSES: typing.Final = (429, 503)
 # What is shown of a value that cannot be used, characters.
-MAX_ODD: typing.Final = 40
+MAX_INVALID_CHARS: typing.Final = 40
 
 
 def read_notice(
     status: int, headers: gateway_api.Headers
 ) -> gateway_api.EndpointNotice:
     """Decode all that an answer says of its endpoint."""
-    odd: list[str] = []
+    invalid: list[str] = []
     leaving = _all(headers, LEAVING)
-    odd += [_shown(LEAVING, value) for value in leaving if value not in (b"0", b"1")]
+    invalid += [
+        _shown(LEAVING, value) for value in leaving if value not in (b"0", b"1")
+    ]
     backoff_s: float | None = 0.0
     wait = _one(headers, RETRY_AFTER) if status in BACKOFF_STATUSES else None
     if wait is not None:
         date = _one(headers, DATE) or b""
         backoff_s = retry_after.seconds(wait.decode("latin-1"), date.decode("latin-1"))
         if backoff_s is None:
-            odd.append(_shown(RETRY_AFTER, wait))
+            invalid.append(_shown(RETRY_AFTER, wait))
     return gateway_api.EndpointNotice(
-        _limit(_one(headers, LIMIT)), b"1" in leaving, backoff_s or 0.0, tuple(odd)
+        _limit(_one(headers, LIMIT)), b"1" in leaving, backoff_s or 0.0, tuple(invalid)
     )
 
 
@@ -50,7 +52,7 @@
 
 
 def _shown(name: bytes, value: bytes) -> str:
-    return f"{name.decode()}: {value[:MAX_ODD].decode('latin-1')}"
+    return f"{name.decode()}: {value[:MAX_INVALID_CHARS].decode('latin-1')}"
 
 
 def _limit(text: bytes | None) -> gateway_api.LimitNotice:
@@ -58,4 +60,6 @@
         return gateway_api.NO_LIMIT
     if NUMBER.match(text):
         return gateway_api.LimitNotice(float(text))
-    return gateway_api.LimitNotice(odd=text[:MAX_ODD].decode("latin-1") or "empty")
+    return gateway_api.LimitNotice(
+        invalid=text[:MAX_INVALID_CHARS].decode("latin-1") or "empty"
+    )
--- a/gaprock/platform/store.py
+++ b/gaprock/platform/store.py
@@ -94,7 +94,7 @@
     return int(text) if text.isascii() and text.isdigit() else None
 
 
-class PlatformPoll(gateway_api.Poll):
+class PlatformLongPoll(gateway_api.LongPoll):
     """A call to the feed on a connection of its own.
 
     :param keep: takes the connection when the answer was read whole.
@@ -180,7 +180,7 @@
     def changes(self, table: str, since: int) -> gateway_api.Page:
         return _page(*self._get(*_feed(table, since, 0.0), CHANGES_WAIT_S))
 
-    def poll(self, table: str, since: int, wait_s: float) -> PlatformPoll:
+    def poll(self, table: str, since: int, wait_s: float) -> PlatformLongPoll:
         path, query = _feed(table, since, wait_s)
         conn = self._poll_connection()
         conn.timeout = CONNECT_WAIT_S
@@ -189,7 +189,7 @@
         except CALL_ERRORS as exc:
             conn.close()
             raise gateway_api.StoreError(type(exc).__name__) from exc
-        return PlatformPoll(conn, self._keep, self._epochs)
+        return PlatformLongPoll(conn, self._keep, self._epochs)
 
     def _poll_connection(self) -> urllib3.connection.HTTPConnection:
         """Give a connection for a poll, an idle one if it is still open."""
@@ -284,8 +284,8 @@
     if answer.status in RETRY_STATUSES:
         # None leaves the pause to the caller.
         wait, date = (answer.headers.get(n, "") for n in ("Retry-After", "Date"))
-        retry_s = min(LONGEST_RETRY_S, retry_after.seconds(wait, date) or 0.0)
-        raise gateway_api.StoreError(f"status {answer.status}", retry_s)
+        retry_after_s = min(LONGEST_RETRY_S, retry_after.seconds(wait, date) or 0.0)
+        raise gateway_api.StoreError(f"status {answer.status}", retry_after_s)
     if answer.status != 200:
         raise gateway_api.StoreError(f"status {answer.status}")
     try:
--- a/gaprock/platform/wire.py
+++ b/gaprock/platform/wire.py
@@ -116,10 +116,10 @@
             notices.read_notice(status, headers),
         )
 
-    def refusal_headers(self, retry_s: float | None) -> gateway_api.Headers:
-        if retry_s is None:
+    def refusal_headers(self, retry_after_s: float | None) -> gateway_api.Headers:
+        if retry_after_s is None:
             return []
-        return [(b"Retry-After", b"%.3f" % retry_s)]
+        return [(b"Retry-After", b"%.3f" % retry_after_s)]
 
     def route_table(self, key: str, value: bytes) -> routes.RouteTable | None:
         return documents.route_table(value) if key == documents.CONFIG_KEY else None
@@ -130,7 +130,7 @@
         doc = invalid_rows.decode(documents.RolloutDoc, value)
         return gateway_api.RolloutOrder(doc.Service, doc.ToVersion, doc.FinishByS)
 
-    def emptied_hall(self, key: str) -> str | None:
+    def cordoned_hall(self, key: str) -> str | None:
         if not key.startswith(documents.EVACUATION_PREFIX):
             return None
         return key[len(documents.EVACUATION_PREFIX) :] or None
--- a/gaprock/rate_limits.py
+++ b/gaprock/rate_limits.py
@@ -87,8 +87,8 @@
 
         :param sent_at: when the request was sent that it answers.
         """
-        if notice.odd:
-            self._note_odd(endpoint, notice.odd)
+        if notice.invalid:
+            self._note_odd(endpoint, notice.invalid)
             return
         with self._lock:
             known = self._known.get(endpoint.incarnation)
--- a/gaprock/rollout_writer.py
+++ b/gaprock/rollout_writer.py
@@ -139,7 +139,7 @@
         try:
             done = self._store.commit(writes)
         except gateway_api.StoreError as exc:
-            pause_s = max(AFTER_ERROR_S, exc.retry_s)
+            pause_s = max(AFTER_ERROR_S, exc.retry_after_s)
             self._quiet_until = self._clock.now() + pause_s
             eventlog.warning("rollout-write", service=service, error=exc)
             return
--- a/gaprock/services_api.py
+++ b/gaprock/services_api.py
@@ -22,7 +22,7 @@
     value: dict[str, typing.Any] | None = None
 
 
-class Op(msgspec.Struct, frozen=True):
+class TableOp(msgspec.Struct, frozen=True):
     """One step of a transaction.
 
     :param expect: the row's version that must hold; ``ANY_VERSION`` for any.
@@ -72,7 +72,7 @@
 
     __slots__ = ()
 
-    def transact(self, ops: list[Op]) -> TxResult:
+    def transact(self, ops: list[TableOp]) -> TxResult:
         """Carry out all steps or none.
 
         :raises AnswerLost: when the outcome is not known.
--- a/gaprock/services_http.py
+++ b/gaprock/services_http.py
@@ -96,7 +96,7 @@
 class TxRequest(msgspec.Struct):
     """Asks for a transaction."""
 
-    ops: list[services_api.Op]
+    ops: list[services_api.TableOp]
 
 
 class RateRequest(msgspec.Struct):
@@ -135,7 +135,7 @@
                 "the table did not answer just now", time.time() + BREAKER_RESET_S
             ) from exc
 
-    def transact(self, ops: list[services_api.Op]) -> services_api.TxResult:
+    def transact(self, ops: list[services_api.TableOp]) -> services_api.TxResult:
         body = msgspec.json.encode(TxRequest(ops))
         data = self._call("/table/transact", body)
         return _decode(data, services_api.TxResult)
--- a/gaprock/table_batch.py
+++ b/gaprock/table_batch.py
@@ -25,7 +25,7 @@
 
     __slots__ = ("op", "deadline", "fut", "sent")
 
-    def __init__(self, op: services_api.Op, deadline: float) -> None:
+    def __init__(self, op: services_api.TableOp, deadline: float) -> None:
         self.op = op
         # No further try is begun after this.
         self.deadline = deadline
@@ -56,7 +56,9 @@
         self._queue.put(None)
         self._thread.join()
 
-    def submit(self, op: services_api.Op, deadline: float) -> futures.Future[Outcome]:
+    def submit(
+        self, op: services_api.TableOp, deadline: float
+    ) -> futures.Future[Outcome]:
         """Ask for a write.
 
         :returns: a future of the outcome; it raises ``services_api.AnswerLost``
--- a/gaprock/test/fakes/backend.py
+++ b/gaprock/test/fakes/backend.py
@@ -10,7 +10,7 @@
 STREAM_PATH: typing.Final = "/gen/"
 
 
-class Seen:
+class ReceivedRequest:
     """A request as the endpoint got it."""
 
     __slots__ = ("method", "target", "headers", "names", "body", "closed")
@@ -26,18 +26,18 @@
         self.closed = threading.Event()
 
 
-Script = typing.Callable[["Backend", Seen, socket.socket], None]
+Script = typing.Callable[["Backend", ReceivedRequest, socket.socket], None]
 
 
 class Backend:
-    """The endpoint; scripts are used up one by one, then ``usual``."""
+    """The endpoint; scripts are used up one by one, then ``default_script``."""
 
     def __init__(self, name: str, events: int = 5, port: int = 0) -> None:
         self.name = name
         self.events = events
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.scripts: collections.deque[Script] = collections.deque()
-        self.usual: Script = answer
+        self.default_script: Script = answer
         self._listener = socket.create_server(("127.0.0.1", port), backlog=64)
         self.port = self._listener.getsockname()[1]
         self._open: set[socket.socket] = set()
@@ -76,16 +76,16 @@
             seen = self._read(conn)
             if seen is not None:
                 self.seen.append(seen)
-                script = self.scripts.popleft() if self.scripts else self.usual
+                script = self.scripts.popleft() if self.scripts else self.default_script
                 script(self, seen, conn)
         except OSError:
-            # The caller went away; ``Seen.closed`` tells where a test cares.
+            # The caller went away; ``ReceivedRequest.closed`` tells where a test cares.
             pass
         finally:
             self._open.discard(conn)
             conn.close()
 
-    def _read(self, conn: socket.socket) -> Seen | None:
+    def _read(self, conn: socket.socket) -> ReceivedRequest | None:
         data = b""
         while b"\r\n\r\n" not in data:
             more = conn.recv(65536)
@@ -93,14 +93,14 @@
                 return None
             data += more
         head, _, body = data.partition(b"\r\n\r\n")
-        seen = Seen(head, body)
+        seen = ReceivedRequest(head, body)
         while len(seen.body) < int(seen.headers.get("content-length", "0")):
             seen.body += conn.recv(65536)
         return seen
 
 
 def head(
-    seen: Seen, status: int = 200, body: bytes | None = None, **more: str
+    seen: ReceivedRequest, status: int = 200, body: bytes | None = None, **more: str
 ) -> bytes:
     """Write the head of an answer; names come with ``_`` for ``-``."""
     headers = {"X-Request-Id": seen.headers.get("x-request-id", "")}
@@ -123,7 +123,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def answer(backend: Backend, seen: Seen, conn: socket.socket) -> None:
+def answer(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
     """The usual answer: a stream on the stream's path, else a short body."""
     if seen.target.startswith(STREAM_PATH):
         stream_to(backend.events)(backend, seen, conn)
@@ -135,7 +135,7 @@
 def refuse(status: int = 503) -> Script:
     """Say that the request was not run."""
 
-    def script(backend: Backend, seen: Seen, conn: socket.socket) -> None:
+    def script(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
         conn.sendall(head(seen, status, b"", X_Not_Run="1", X_Server_Stamp=""))
 
     return script
@@ -144,26 +144,26 @@
 def fail(status: int = 500) -> Script:
     """Run the request and fail."""
 
-    def script(backend: Backend, seen: Seen, conn: socket.socket) -> None:
+    def script(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
         conn.sendall(head(seen, status, b"bad") + b"bad")
 
     return script
 
 
-def reset(backend: Backend, seen: Seen, conn: socket.socket) -> None:
+def reset(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
     """Take the request and close without an answer."""
 
 
 def raw(data: bytes) -> Script:
     """Send bytes as they are, then close."""
 
-    def script(backend: Backend, seen: Seen, conn: socket.socket) -> None:
+    def script(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
         conn.sendall(data)
 
     return script
 
 
-def hang(backend: Backend, seen: Seen, conn: socket.socket) -> None:
+def hang(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
     """Never answer; note when the caller closes."""
     conn.settimeout(10)
     if not conn.recv(1):
@@ -184,7 +184,7 @@
     :param silent: whether the connection then stays open without a word.
     """
 
-    def script(backend: Backend, seen: Seen, conn: socket.socket) -> None:
+    def script(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
         first = int(seen.headers.get("last-event-id", "0")) + 1
         start = head(
             seen,
--- a/gaprock/test/fakes/cutproxy.py
+++ b/gaprock/test/fakes/cutproxy.py
@@ -23,8 +23,8 @@
         self.address = f"tcp://127.0.0.1:{self.port}"
         self._pairs: list[tuple[socket.socket, socket.socket]] = []
         # Cleared while the relay is silent: it takes bytes and passes none on.
-        self.flowing = threading.Event()
-        self.flowing.set()
+        self.data_flows = threading.Event()
+        self.data_flows.set()
         # Directions whose bytes are held back, and the delay of all others, seconds.
         self.held: set[str] = set()
         self.delay_s = 0.0
@@ -51,23 +51,23 @@
                     continue
         self.cut()
 
-    def mute(self) -> None:
+    def silence_connections(self) -> None:
         """Let the open connections go silent for good; new ones work."""
         self._mute.update(sock for pair in self._pairs for sock in pair)
 
     def heal(self) -> None:
         """Let everything through again; what was silent is reset, as after a cut."""
-        was_silent = bool(self.held) or not self.flowing.is_set()
+        was_silent = bool(self.held) or not self.data_flows.is_set()
         self.held.clear()
         self.delay_s = 0.0
-        self.flowing.set()
+        self.data_flows.set()
         if was_silent:
             self.reset()
 
     def stop(self) -> None:
         """Close everything."""
         _close(self._listener)
-        self.flowing.set()
+        self.data_flows.set()
         self.cut()
 
     def _accept(self) -> None:
@@ -86,7 +86,7 @@
     ) -> None:
         try:
             while data := source.recv(CHUNK):
-                self.flowing.wait()
+                self.data_flows.wait()
                 if source in self._mute:
                     continue
                 while direction in self.held:
--- a/gaprock/test/fakes/metastore.py
+++ b/gaprock/test/fakes/metastore.py
@@ -33,16 +33,16 @@
         self.version = 0
         # The rows that were written since the latest restore.
         self._written: set[Name] = set()
-        self.forgotten_until = 0
+        self.history_start = 0
         # Rises with each restore.
         self.epoch = 0
         # Whether polls that wait go on over a restore without an answer.
-        self.is_silent_on_restore = False
+        self.withholds_restores = False
         self.calls: list[str] = []
         # The tables of the polls that wait now.
         self.waiting: list[str] = []
         # The tables that calls were about which are never answered.
-        self.swallowed: list[str] = []
+        self.unanswered_polls: list[str] = []
         self._stopping = threading.Event()
         # The store's steady clock.
         self.now_ms: typing.Callable[[], int] = lambda: 51_230
@@ -68,7 +68,7 @@
     def compact(self) -> None:
         """Forget the history."""
         with self._changed:
-            self.forgotten_until = self.version
+            self.history_start = self.version
 
     def restore(self, version: int) -> dict[Name, bytes | None]:
         """Come back from a copy of an earlier version; calls that wait are cut.
@@ -85,12 +85,14 @@
                     self._rows[name] = value, changed
             self.version = version
             self._written.clear()
-            self.forgotten_until = min(self.forgotten_until, version)
+            self.history_start = min(self.history_start, version)
             self.epoch += 1
             self._changed.notify_all()
         return lost
 
-    def write_again(self, name: Name, value: bytes | None, epoch: int) -> None:
+    def rewrite_after_restore(
+        self, name: Name, value: bytes | None, epoch: int
+    ) -> None:
         """Write a lost row, unless it was written since the restore to an epoch."""
         with self._changed:
             if self.epoch == epoch and name not in self._written:
@@ -117,7 +119,7 @@
         self.calls.append(call)
         time.sleep(self.faults.get("delay", 0.0))
         if self.faults.get("swallow"):
-            self.swallowed.append(query.get("Table", ""))
+            self.unanswered_polls.append(query.get("Table", ""))
             self._stopping.wait()
             return httpfake.Reply(0, drop=True)
         if self.faults.get("odd"):
@@ -149,7 +151,7 @@
         table, since = query["Table"], int(query["SinceRev"])
         wait_s = int(query["WaitMs"]) / 1000
         with self._changed:
-            if not self.forgotten_until <= since <= self.version:
+            if not self.history_start <= since <= self.version:
                 return httpfake.Reply(410)
             epoch = self.epoch
             self.waiting.append(table)
@@ -158,7 +160,7 @@
             )
             self.waiting.remove(table)
             if self.epoch != epoch:
-                if self.is_silent_on_restore:
+                if self.withholds_restores:
                     self._changed.wait_for(self._stopping.is_set, wait_s)
                 return httpfake.Reply(0, drop=True)
             rows = [
--- a/gaprock/test/fakes/tables.py
+++ b/gaprock/test/fakes/tables.py
@@ -18,9 +18,9 @@
     def __init__(self, faults: typing.Sequence[str] = ()) -> None:
         self.rows: dict[str, services_api.Row] = {}
         self.faults = list(faults)
-        self._late: list[list[services_api.Op]] = []
+        self._late: list[list[services_api.TableOp]] = []
 
-    def transact(self, ops: list[services_api.Op]) -> services_api.TxResult:
+    def transact(self, ops: list[services_api.TableOp]) -> services_api.TxResult:
         fault = self.faults.pop(0) if self.faults else OK
         if fault == DOWN:
             raise services_api.PlatformError("down")
@@ -52,7 +52,7 @@
         """Give a row, or the mark of its absence."""
         return self.rows.get(key, services_api.Row(key, 0))
 
-    def _apply(self, ops: list[services_api.Op]) -> services_api.TxResult:
+    def _apply(self, ops: list[services_api.TableOp]) -> services_api.TxResult:
         failed = [
             self.row(op.key)
             for op in ops
--- a/gaprock/test/gatewaysite.py
+++ b/gaprock/test/gatewaysite.py
@@ -196,12 +196,12 @@
         wanted = prompt | more
         return self.call("/gen/x", b"p", "POST", **wanted)
 
-    def call_later(self, target: str, **more: str) -> "Later":
+    def start_call(self, target: str, **more: str) -> "PendingCall":
         """Make a request on a thread of its own."""
-        return Later(lambda: self.call(target, b"", "POST", **more))
+        return PendingCall(lambda: self.call(target, b"", "POST", **more))
 
 
-class Later:
+class PendingCall:
     """An answer that is awaited."""
 
     def __init__(self, call: typing.Callable[[], Answer]) -> None:
--- a/gaprock/test/limitcase.py
+++ b/gaprock/test/limitcase.py
@@ -32,11 +32,11 @@
         self.said_at = float("inf")
         self.confidence = "90"
         self.fake = site.backends[name] = backend.Backend(name)
-        self.fake.usual = self._answer
+        self.fake.default_script = self._answer
         site.write_row(name, service, Zone=hall)
 
     def _answer(
-        self, fake: backend.Backend, seen: backend.Seen, conn: typing.Any
+        self, fake: backend.Backend, seen: backend.ReceivedRequest, conn: typing.Any
     ) -> None:
         now = time.monotonic()
         self.arrivals.append(now)
--- a/gaprock/test/poisoncase.py
+++ b/gaprock/test/poisoncase.py
@@ -47,12 +47,12 @@
             self._lives += 1
             name = f"{self._name}-{self._lives}"
         fake = backend.Backend(name, port=port)
-        fake.usual = self._answer
+        fake.default_script = self._answer
         self._site.backends[name] = fake
         self._site.write_row(name, self._name)
 
     def _answer(
-        self, fake: backend.Backend, seen: backend.Seen, conn: socket.socket
+        self, fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
     ) -> None:
         if seen.headers.get("x-expect-instance") != fake.name:
             backend.refuse(421)(fake, seen, conn)
--- a/gaprock/test/soak_fleet.py
+++ b/gaprock/test/soak_fleet.py
@@ -100,7 +100,7 @@
         self.backoff_s = 0.0
         self._ledger = ledger
         self.fake = backend.Backend(name)
-        self.fake.usual = self._answer
+        self.fake.default_script = self._answer
         self.relay = cutproxy.CutProxy(self.fake.port)
         self.row_s = "ready"
         # Called when a request ends it.
@@ -126,7 +126,7 @@
         self.relay.stop()
 
     def _answer(
-        self, fake: backend.Backend, seen: backend.Seen, conn: socket.socket
+        self, fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
     ) -> None:
         if seen.headers.get("x-expect-instance") != self.name:
             backend.refuse(421)(fake, seen, conn)
@@ -175,12 +175,16 @@
         leaving = "1" if self.says_leaving else ""
         return {"Server_Limit": self.limit, "Server_Leaving": leaving}
 
-    def _shed(self, seen: backend.Seen, conn: socket.socket, backoff_s: float) -> None:
+    def _shed(
+        self, seen: backend.ReceivedRequest, conn: socket.socket, backoff_s: float
+    ) -> None:
         refused = {"X_Not_Run": "1", "X_Server_Stamp": ""}
         wait = f"{backoff_s:.3f}"
         conn.sendall(backend.head(seen, 503, b"", Retry_After=wait, **refused))
 
-    def _fail(self, seen: backend.Seen, conn: socket.socket, mark: int) -> None:
+    def _fail(
+        self, seen: backend.ReceivedRequest, conn: socket.socket, mark: int
+    ) -> None:
         if mark < 100:
             backend.fail()(self.fake, seen, conn)
         elif mark < 180 and seen.target.startswith("/gen/"):
@@ -190,7 +194,7 @@
 
     def _stream(
         self,
-        seen: backend.Seen,
+        seen: backend.ReceivedRequest,
         conn: socket.socket,
         request: str,
         last: int,
--- a/gaprock/test/soak_steps.py
+++ b/gaprock/test/soak_steps.py
@@ -135,7 +135,7 @@
     how = soak.rng.choice(["silent", "to-target", "to-caller", "slow", "reset"])
     begin: typing.Callable[[], object] = relay.reset
     if how == "silent":
-        begin = relay.flowing.clear
+        begin = relay.data_flows.clear
     elif how == "slow":
         delay_s = soak.rng.uniform(0.05, 0.3)
 
@@ -171,7 +171,11 @@
     relays += [endpoint.relay for endpoint in list(soak.fleet.endpoints.values())]
     for relay in soak.rng_beside.sample(relays, soak.rng_beside.randint(1, 3)):
         soak.during(
-            "relay mute", soak_ledger.ALL, relay.mute, lambda: None, soak.rng_beside
+            "relay mute",
+            soak_ledger.ALL,
+            relay.silence_connections,
+            lambda: None,
+            soak.rng_beside,
         )
 
 
@@ -201,7 +205,7 @@
             theirs = [item for item in lost.items() if item[0][0] in WRITTEN_AGAIN]
             for pause_s, (name, value) in sorted(zip(again_s, theirs)):
                 time.sleep(max(0.0, start + away_s + pause_s - soak.ledger.now()))
-                store.write_again(name, value, epoch)
+                store.rewrite_after_restore(name, value, epoch)
             soak.ledger.replace(mark, mark._replace(end=soak.ledger.now()))
 
     soak.later(work)
@@ -287,7 +291,9 @@
 def endpoint_starts_again(soak: soak_run.Soak) -> None:
     """An endpoint crashes and is back at once under its id; its row never goes."""
     endpoint = soak.rng_rows.choice(list(soak.fleet.endpoints.values()))
-    cut = soak.rng_rows.choice([endpoint.relay.reset, endpoint.relay.mute])
+    cut = soak.rng_rows.choice(
+        [endpoint.relay.reset, endpoint.relay.silence_connections]
+    )
 
     def begin() -> None:
         cut()
--- a/gaprock/test/testbackoffs.py
+++ b/gaprock/test/testbackoffs.py
@@ -356,7 +356,9 @@
 
 
 def sheds(status: int, **more: str) -> backend.Script:
-    def script(fake: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+    def script(
+        fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+    ) -> None:
         conn.sendall(backend.head(seen, status, b"", **more))
 
     return script
@@ -403,7 +405,7 @@
         fake = site.add("e", "llm")
 
         def shed_from_now_on(
-            fake: backend.Backend, seen: backend.Seen, conn: socket.socket
+            fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
         ) -> None:
             books = site.gateway.directory.notices.backoffs
             one = site.gateway.directory._endpoints["e"]
--- a/gaprock/test/testbills.py
+++ b/gaprock/test/testbills.py
@@ -15,7 +15,7 @@
     return messages.Bill(key, "r", "demo", "explain", 0, lines)
 
 
-def write_out(*books: bills.BillBook) -> None:
+def write_out(*books: bills.BillBuffer) -> None:
     """Write until nothing is held."""
     for _ in range(50):
         for book in books:
@@ -43,8 +43,8 @@
 ) -> None:
     table = tables.TableFake(faults)
     now = clock.ManualClock()
-    entry = bills.BillBook(table, bills.ENTRY, 100, now)
-    agents = [bills.BillBook(table, bills.AGENT, 100, now) for _ in range(2)]
+    entry = bills.BillBuffer(table, bills.ENTRY, 100, now)
+    agents = [bills.BillBuffer(table, bills.AGENT, 100, now) for _ in range(2)]
     for number in range(keys):
         key = f"k{number}"
         # A cascade: the first agent knows one attempt, the others both.
@@ -69,8 +69,8 @@
 
 def test_an_entrys_bill_goes_before_that_of_an_attempt_it_gave_up() -> None:
     table, now = tables.TableFake(), clock.Clock()
-    agent = bills.BillBook(table, bills.AGENT, 10, now)
-    entry = bills.BillBook(table, bills.ENTRY, 10, now)
+    agent = bills.BillBuffer(table, bills.AGENT, 10, now)
+    entry = bills.BillBuffer(table, bills.ENTRY, 10, now)
     agent.hold(bill_of("k", "given-up"), [], now.now())
     write_out(agent)
     entry.hold(bill_of("k", "delivered"), [], now.now())
--- a/gaprock/test/testclaims.py
+++ b/gaprock/test/testclaims.py
@@ -63,7 +63,7 @@
             rig.table.land()
             continue
         if step == "settle":
-            holder.settle_open()
+            holder.write_open_outcomes()
             continue
         try:
             # So short that a claim is given up after one failed try.
@@ -71,7 +71,7 @@
             claim = holder.take("demo", "id", "digest", deadline)
         except errors.GaprockError:
             continue
-        if isinstance(claim, claims.Stored):
+        if isinstance(claim, claims.StoredAnswer):
             assert ran == 1
             continue
         if step == "not-run":
@@ -136,7 +136,7 @@
         start_service(s)
         request = site.once_id()
         first = s.score(request)
-        s.entries[0].publisher.urge(documents.Withdrawal("scores@1"))
+        s.entries[0].publisher.publish_urgent(documents.Withdrawal("scores@1"))
         assert s.score(request).body == first.body
         fresh = site.once_id()
         with pytest.raises(errors.GaprockError) as caught:
@@ -185,7 +185,7 @@
         self._inner = inner
         self.paused, self.woken = threading.Event(), threading.Event()
 
-    def take(self, *args: typing.Any) -> claims.Claim | claims.Stored:
+    def take(self, *args: typing.Any) -> claims.Claim | claims.StoredAnswer:
         claim = self._inner.take(*args)
         self.paused.set()
         self.woken.wait(site.WAIT_S)
@@ -329,7 +329,7 @@
     rig.holders[0].finish(claim, 200, "text/plain", body)
     stored = rig.holders[0].take("demo", "id", "d", deadline)
     rig.stop()
-    assert stored == claims.Stored(200, "text/plain", body)
+    assert stored == claims.StoredAnswer(200, "text/plain", body)
 
 
 def test_many_claims_share_a_transaction() -> None:
--- a/gaprock/test/testconfig.py
+++ b/gaprock/test/testconfig.py
@@ -59,7 +59,7 @@
         "repeatable": True,
         "bill_key": "k",
         "cost": 1.0,
-        "prior": [],
+        "earlier_lines": [],
         "window": 16,
         "path": "/",
         "body": b"{}",
@@ -67,7 +67,7 @@
     return messages.Start(**{**given, **fields})
 
 
-class GateRig:
+class GateCase:
     """A gate whose endpoint has every version and only counts what runs."""
 
     def __init__(self) -> None:
@@ -79,7 +79,7 @@
         self.config = config.Config()
         self.posted: list[typing.Any] = []
         self.ran: list[str] = []
-        book = bills.BillBook(tables.TableFake(), bills.AGENT, 10, clock.Clock())
+        book = bills.BillBuffer(tables.TableFake(), bills.AGENT, 10, clock.Clock())
         self.gate = agent_gate.Gate(
             cfg,
             clock.Clock(),
@@ -130,7 +130,7 @@
     history: list[set[str]], entry_at: int, agent_at: int, version: str
 ) -> None:
     entry_at, agent_at = min(entry_at, len(history)), min(agent_at, len(history))
-    rig = GateRig()
+    rig = GateCase()
     for revision in range(1, agent_at + 1):
         allowed = site.template(*sorted(history[revision - 1]))
         rig.config.apply(delta_of(revision, revision - 1, site.workspace(), allowed))
@@ -186,7 +186,7 @@
         session = s.entries[1].server.open_session(site.template("small@1"), "x")
         token = s.entries[1].sessions._signer.sign(session)
         s.platform.faults["down"] = True
-        done = s.entries[0].publisher.urge(documents.Withdrawal("small@1"))
+        done = s.entries[0].publisher.publish_urgent(documents.Withdrawal("small@1"))
         assert not done.accepted
         site.wait_until(lambda: s.entries[1].config.withdrawn("small@1"), "entry 1")
         # An entry that starts now learns it from the agents alone.
@@ -219,7 +219,7 @@
         s.start_entry(cut_off)
         s.wait_linked()
         s.wait_in_force()
-        s.entries[0].publisher.urge(documents.Withdrawal("small@1"))
+        s.entries[0].publisher.publish_urgent(documents.Withdrawal("small@1"))
         site.wait_until(lambda: s.entries[1].config.withdrawn("small@1"), "gossip")
         assert s.chat(1).headers["X-Gaprock-Version"] == "large@1"
 
@@ -398,7 +398,7 @@
 def test_a_publication_that_names_a_withdrawn_version_changes_nothing() -> None:
     with site.Site() as s:
         s.start()
-        s.entries[0].publisher.urge(documents.Withdrawal("old@1"))
+        s.entries[0].publisher.publish_urgent(documents.Withdrawal("old@1"))
         s.wait_in_force()
         before = s.entries[0].config.revision
         for bad in (
--- a/gaprock/test/testdepartures.py
+++ b/gaprock/test/testdepartures.py
@@ -317,7 +317,9 @@
 def says_it_leaves(
     status: int, body: bytes | None = b"bad", **more: str
 ) -> backend.Script:
-    def script(fake: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+    def script(
+        fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+    ) -> None:
         head = backend.head(seen, status, body, Server_Leaving="1", **more)
         conn.sendall(head + (body or b""))
 
@@ -364,7 +366,7 @@
 
     with gatewaysite.GatewaySite(shorten) as site:
         fake = site.add("last", "app")
-        fake.usual = says_it_leaves(200)
+        fake.default_script = says_it_leaves(200)
         assert site.call("/unsafe/x").status == 200
         gatewaysite.wait_until(lambda: not site.known("app"), "its time is over")
         seen = len(fake.seen)
--- a/gaprock/test/testemptied.py
+++ b/gaprock/test/testemptied.py
@@ -133,7 +133,9 @@
 def stream_when(released: threading.Event) -> backend.Script:
     """Stream one event, and the rest once it is released."""
 
-    def script(fake: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+    def script(
+        fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+    ) -> None:
         start = backend.head(
             seen,
             Content_Type="text/event-stream",
@@ -152,7 +154,7 @@
         fake = site.add("e", "llm", Zone="h1")
         released = threading.Event()
         fake.scripts.append(stream_when(released))
-        later = site.call_later("/gen/x")
+        later = site.start_call("/gen/x")
         gatewaysite.wait_until(lambda: bool(fake.seen), "sent")
         empty(site, "h1")
         released.set()
--- a/gaprock/test/testepochs.py
+++ b/gaprock/test/testepochs.py
@@ -332,7 +332,7 @@
         )
         # No call of ours is due: only the word of a peer can bring the reading about.
         one.fresh.verified_at = clock.NEVER
-        store.is_silent_on_restore = True
+        store.withholds_restores = True
         store.restore(3)
         store.put(rowcase.TABLE, "b", 1)
         exchange.record_news(0, mesh_messages.TableNews(4, 0, 0.0, store.epoch))
@@ -353,7 +353,7 @@
 
     pauses: list[float]
 
-    def _rest_from_store(self, pause_s: float, retry_s: float = 0.0) -> None:
+    def _rest_from_store(self, pause_s: float, retry_after_s: float = 0.0) -> None:
         self.pauses.append(pause_s)
         if len(self.pauses) == 6:
             self.stop()
--- a/gaprock/test/testfleet.py
+++ b/gaprock/test/testfleet.py
@@ -242,7 +242,7 @@
 
     try:
         gatewaysite.wait_until(is_heard, "the first beat")
-        proxy.mute()
+        proxy.silence_connections()
         while inbox.poll(100):
             inbox.recv()
         gatewaysite.wait_until(is_heard, "a beat on a new connection")
--- a/gaprock/test/testfollowing.py
+++ b/gaprock/test/testfollowing.py
@@ -30,7 +30,7 @@
 class ModelStore(gateway_api.SharedStore):
     """A store that answers at once; what becomes of an answer is the machine's."""
 
-    __slots__ = ("_clock", "version", "states", "forgotten_until", "times")
+    __slots__ = ("_clock", "version", "states", "history_start", "times")
 
     def __init__(self, clock_: clock.Clock) -> None:
         self._clock = clock_
@@ -39,7 +39,7 @@
         self.states: list[Rows] = [{}]
         # When each version began, by the store's clock.
         self.times = [self.now()]
-        self.forgotten_until = 0
+        self.history_start = 0
 
     def now(self) -> float:
         """The store's clock."""
@@ -62,7 +62,7 @@
         return gateway_api.Page(rows, self.version, self.now())
 
     def changes(self, table: str, since: int) -> gateway_api.Page:
-        if since < self.forgotten_until:
+        if since < self.history_start:
             raise gateway_api.HistoryGone
         newest: dict[str, gateway_api.Row] = {}
         for version in range(since + 1, self.version + 1):
@@ -133,7 +133,7 @@
     @stateful.rule()
     def forget(self) -> None:
         """The store forgets its history."""
-        self.store.forgotten_until = self.store.version
+        self.store.history_start = self.store.version
 
     @stateful.rule(which=MEMBERS)
     def start_anew(self, which: int) -> None:
@@ -164,7 +164,7 @@
         if member.follower.version < 0:
             return
         since = max(0, member.follower.version - back)
-        if since >= self.store.forgotten_until:
+        if since >= self.store.history_start:
             member.answers.append(self.store.changes("t", since))
 
     @stateful.rule(which=MEMBERS)
--- a/gaprock/test/testfreshness.py
+++ b/gaprock/test/testfreshness.py
@@ -30,7 +30,9 @@
     store.faults["swallow"] = True
     change()
     gatewaysite.wait_until(is_taken, "the poll is answered")
-    gatewaysite.wait_until(lambda: table in store.swallowed, "the next is swallowed")
+    gatewaysite.wait_until(
+        lambda: table in store.unanswered_polls, "the next is swallowed"
+    )
     del store.faults["swallow"]
 
 
--- a/gaprock/test/testgateway.py
+++ b/gaprock/test/testgateway.py
@@ -161,7 +161,7 @@
     assert site.call("/unsafe/x").status == 200
     assert sum(len(fake.seen) for fake in fakes) == 3
     for fake in fakes:
-        fake.usual = backend.refuse()
+        fake.default_script = backend.refuse()
     answer = site.call("/unsafe/x")
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
@@ -173,7 +173,7 @@
 ) -> None:
     fakes = [site.add("a", "app"), site.add("b", "app")]
     for fake in fakes:
-        fake.usual = backend.reset
+        fake.default_script = backend.reset
     answer = site.call("/unsafe/x")
     assert answer.status == 502
     assert sum(len(fake.seen) for fake in fakes) == 1
@@ -210,7 +210,7 @@
 def test_an_endpoints_own_failure_is_given_as_it_is(
     site: gatewaysite.GatewaySite,
 ) -> None:
-    site.add("a", "app").usual = backend.fail(500)
+    site.add("a", "app").default_script = backend.fail(500)
     answer = site.call("/unsafe/x")
     assert (answer.status, answer.body) == (500, b"bad")
     assert answer.headers["x-server-stamp"] == backend.STAMP
@@ -228,7 +228,7 @@
 def test_a_reused_address_does_not_get_the_request_run(
     site: gatewaysite.GatewaySite,
 ) -> None:
-    site.add("a", "app").usual = backend.refuse(421)
+    site.add("a", "app").default_script = backend.refuse(421)
     other = site.add("b", "app")
     for _ in range(4):
         assert site.call("/unsafe/x").status == 200
@@ -239,7 +239,7 @@
     site: gatewaysite.GatewaySite,
 ) -> None:
     fake = site.add("a", "app")
-    fake.usual = backend.hang
+    fake.default_script = backend.hang
     routes = [gatewaysite.route("/unsafe/", "unsafe", "app", TimeoutMs=300)]
     site.store.put("op", "config", gatewaysite.config(2, Routes=routes))
     gatewaysite.wait_until(lambda: site.in_force == 2)
@@ -263,7 +263,7 @@
     site: gatewaysite.GatewaySite,
 ) -> None:
     fake = site.add("a", "app")
-    fake.usual = backend.hang
+    fake.default_script = backend.hang
     routes = [gatewaysite.route("/unsafe/", "unsafe", "app", TimeoutMs=60_000)]
     site.store.put("op", "config", gatewaysite.config(2, Routes=routes))
     gatewaysite.wait_until(lambda: site.in_force == 2)
@@ -312,7 +312,7 @@
     fakes = [site.add(name, "llm") for name in ("a", "b", "c")]
     broken = backend.stream_to(2, whole=False)
     for fake in fakes:
-        fake.usual = broken
+        fake.default_script = broken
     site.generate()
     seen = [s for fake in fakes for s in fake.seen]
     assert {s.headers["x-model"] for s in seen} == {"small"}
@@ -364,9 +364,11 @@
 def test_a_stream_that_begins_and_says_nothing_goes_elsewhere(
     site: gatewaysite.GatewaySite,
 ) -> None:
-    muted: list[backend.Seen] = []
+    muted: list[backend.ReceivedRequest] = []
 
-    def script(own: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+    def script(
+        own: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+    ) -> None:
         if muted:
             backend.answer(own, seen, conn)
             return
@@ -376,7 +378,7 @@
         backend.hang(own, seen, conn)
 
     for name in ("a", "b"):
-        site.add(name, "llm").usual = script
+        site.add(name, "llm").default_script = script
     answer = site.generate()
     assert (answer.body, answer.whole) == (events(1, 5), True)
     assert muted[0].closed.wait(5)
--- a/gaprock/test/testgatewaystops.py
+++ b/gaprock/test/testgatewaystops.py
@@ -28,12 +28,14 @@
         fake = site.add("a", "app")
         go_on = threading.Event()
 
-        def slow(own: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+        def slow(
+            own: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+        ) -> None:
             go_on.wait(5)
             backend.answer(own, seen, conn)
 
-        fake.usual = slow
-        later = site.call_later("/safe/x")
+        fake.default_script = slow
+        later = site.start_call("/safe/x")
         gatewaysite.wait_until(lambda: fake.seen, "the request arrived")
         stopping = threading.Thread(target=site.gateway.stop, daemon=True)
         stopping.start()
@@ -78,7 +80,7 @@
         answer = site.call("/unsafe/x")
         assert (answer.status, "retry-after" in answer.headers) == (503, True)
         monkeypatch.setattr(gateway_serve, "START_WAIT_S", site_module.WAIT_S)
-        later = site.call_later("/unsafe/x")
+        later = site.start_call("/unsafe/x")
         site.backends["a"] = backend.Backend("a")
         site.write_row("a", "app")
         site.store.put("op", "config", gatewaysite.config(1))
@@ -123,8 +125,8 @@
         cfg.max_calls = 100
 
     with gatewaysite.GatewaySite(many) as site:
-        site.add("a", "app", Slots=100).usual = backend.hang
-        laters = [site.call_later("/unsafe/x") for _ in range(60)]
+        site.add("a", "app", Slots=100).default_script = backend.hang
+        laters = [site.start_call("/unsafe/x") for _ in range(60)]
         gatewaysite.wait_until(lambda: len(site.backends["a"].seen) == 60, "all sent")
         site.backends["a"].stop()
         for later in laters:
@@ -136,7 +138,7 @@
 ) -> None:
     # Threads that the pool did not know yet took the word to end from busy ones that it
     # knew, and these were waited for, for ever.
-    site.add("a", "app").usual = backend.hang
+    site.add("a", "app").default_script = backend.hang
     port = site.gateway.port
     pool = port._server.requests
     spawn, is_growing, go_on = pool._spawn_worker, threading.Event(), threading.Event()
@@ -148,7 +150,7 @@
         return worker
 
     pool._spawn_worker = spawn_slowly
-    laters = [site.call_later("/unsafe/x") for _ in range(LOW_CALLS)]
+    laters = [site.start_call("/unsafe/x") for _ in range(LOW_CALLS)]
     assert is_growing.wait(site_module.WAIT_S)
     stop = threading.Thread(target=port.stop, daemon=True)
     stop.start()
@@ -174,9 +176,9 @@
         second.start()
         stack.callback(second.close)
         fake = first.add("a", "app")
-        fake.usual = backend.hang
+        fake.default_script = backend.hang
         gatewaysite.wait_until(lambda: second.mesh.living() == ["gateway-1"])
-        later = first.call_later("/unsafe/x")
+        later = first.start_call("/unsafe/x")
         gatewaysite.wait_until(
             lambda: second.directory.usable("app", set())[0].load == 1, "load is told"
         )
--- a/gaprock/test/testgone.py
+++ b/gaprock/test/testgone.py
@@ -100,8 +100,8 @@
             raise self.refused(call, "none")
         return None, None
 
-    def overloaded(self, detail: str, caller_s: float) -> gateway_call.GivenUp:
-        return gateway_call.GivenUp(errorcodes.OVERLOADED, detail, 0.1)
+    def overloaded(self, detail: str, caller_s: float) -> gateway_call.CallError:
+        return gateway_call.CallError(errorcodes.OVERLOADED, detail, 0.1)
 
 
 class Gate:
@@ -159,7 +159,7 @@
         setattr(server, name, part)
     kind = routes.RouteKind.SAFE if is_safe else routes.RouteKind.UNSAFE
     call = callcase.call(1, kind=kind)
-    with pytest.raises(gateway_call.GivenUp) as caught:
+    with pytest.raises(gateway_call.CallError) as caught:
         server._run_whole(call, typing.cast(gateway_call.Reply, None))
     code = caught.value.code
     is_not_run = code.category is errorcodes.Category.NOT_RUN
--- a/gaprock/test/testlimits.py
+++ b/gaprock/test/testlimits.py
@@ -54,20 +54,20 @@
 def test_what_is_no_number_is_no_limit(text: bytes) -> None:
     notice = read(text)
     assert notice.per_s is None
-    assert 0 < len(notice.odd) <= notices.MAX_ODD
+    assert 0 < len(notice.invalid) <= notices.MAX_INVALID_CHARS
 
 
 def test_two_limits_are_none() -> None:
     assert read(b"2.4", b"2.4").per_s is None
-    assert read(b"2.4", b"2.4").odd
+    assert read(b"2.4", b"2.4").invalid
 
 
 @hypothesis.given(st.lists(st.binary(max_size=40), max_size=3))
 def test_any_header_is_read_as_a_limit_or_as_none(values: list[bytes]) -> None:
     notice = read(*values)
     assert notice.per_s is None or 0.0 <= notice.per_s < 1e12
-    assert not (notice.odd and notice.per_s is not None)
-    assert bool(values) == (bool(notice.odd) or notice.per_s is not None)
+    assert not (notice.invalid and notice.per_s is not None)
+    assert bool(values) == (bool(notice.invalid) or notice.per_s is not None)
 
 
 # -- Which answer counts --
--- a/gaprock/test/testnotices.py
+++ b/gaprock/test/testnotices.py
@@ -36,7 +36,7 @@
 def test_what_is_no_departure_is_reported(text: bytes) -> None:
     notice = read(200, (b"Server-Leaving", text))
     assert not notice.is_leaving
-    assert len(notice.odd) == 1
+    assert len(notice.invalid) == 1
 
 
 # -- Backoff --
@@ -52,7 +52,7 @@
 ) -> None:
     notice = backoff(status, text)
     assert notice.backoff_s == seconds
-    assert not notice.odd
+    assert not notice.invalid
 
 
 @pytest.mark.parametrize("status", [200, 301, 421, 500, 502])
@@ -66,7 +66,7 @@
     assert read(503, until, date).backoff_s == 5.0
     assert read(503, date, (b"Retry-After", date[1])).backoff_s == 0.0
     past = read(503, (b"Retry-After", b"Wed, 21 Oct 2015 07:28:00 GMT"))
-    assert past.backoff_s == 0.0 and not past.odd
+    assert past.backoff_s == 0.0 and not past.invalid
 
 
 def test_a_date_without_that_of_the_answer_counts_from_now() -> None:
@@ -94,13 +94,13 @@
 def test_what_is_no_time_is_no_backoff(text: bytes) -> None:
     notice = backoff(503, text)
     assert notice.backoff_s == 0.0
-    assert len(notice.odd) == 1
-    assert len(notice.odd[0]) <= notices.MAX_ODD + len("retry-after: ")
+    assert len(notice.invalid) == 1
+    assert len(notice.invalid[0]) <= notices.MAX_INVALID_CHARS + len("retry-after: ")
 
 
 def test_two_backoffs_are_none() -> None:
     assert backoff(503, b"3", b"3").backoff_s == 0.0
-    assert backoff(503, b"3", b"3").odd
+    assert backoff(503, b"3", b"3").invalid
 
 
 @hypothesis.given(
@@ -115,4 +115,4 @@
 def test_any_headers_are_read(headers: list[tuple[bytes, bytes]]) -> None:
     notice = read(503, *headers)
     assert 0.0 <= notice.backoff_s < 1e12
-    assert len(notice.odd) <= len(headers)
+    assert len(notice.invalid) <= len(headers)
--- a/gaprock/test/testpoison.py
+++ b/gaprock/test/testpoison.py
@@ -42,8 +42,8 @@
 def test_a_send_that_waits_is_taken_back_when_its_request_is_held(target: str) -> None:
     with gatewaysite.GatewaySite() as site:
         fake = site.add("one", "llm" if target == "/gen/x" else "app")
-        fake.usual = backend.hang
-        later = site.call_later(target, X_Deadline_Ms="20000")
+        fake.default_script = backend.hang
+        later = site.start_call(target, X_Deadline_Ms="20000")
         gatewaysite.wait_until(lambda: bool(fake.seen), "it waits there")
         hold(site, fingerprint_of(target, b""))
         answer = later.get()
@@ -61,7 +61,9 @@
 def test_a_stream_that_runs_goes_on_and_clears_its_request() -> None:
     go_on = threading.Event()
 
-    def slow(fake: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+    def slow(
+        fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+    ) -> None:
         backend.stream_to(2, whole=False)(fake, seen, conn)
         go_on.wait(site_module.WAIT_S)
         for number in (3, 4):
@@ -70,8 +72,8 @@
 
     with gatewaysite.GatewaySite() as site:
         fake = site.add("one", "llm")
-        fake.usual = slow
-        later = gatewaysite.Later(lambda: site.generate(X_Deadline_Ms="20000"))
+        fake.default_script = slow
+        later = gatewaysite.PendingCall(lambda: site.generate(X_Deadline_Ms="20000"))
         gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
         # It has run for longer than any poison request does.
         threading.Event().wait(2 * quarantine.JUST_BEGUN_S)
@@ -89,25 +91,25 @@
     with gatewaysite.GatewaySite() as site:
         fakes = [site.add(f"e{number}", "app") for number in range(3)]
         for fake in fakes:
-            fake.usual = backend.reset
+            fake.default_script = backend.reset
         for _ in range(3):
             assert site.call("/safe/x", b"innocent").status == 502
-        site.gateway._sender.settle_breaks()
+        site.gateway._sender.resolve_breaks()
         assert site.gateway.quarantine.is_empty
 
 
 def test_endpoints_that_leave_and_end_speak_against_nobody() -> None:
     with gatewaysite.GatewaySite() as site:
         fake = site.add("one", "app")
-        fake.usual = backend.hang
-        later = site.call_later("/unsafe/x")
+        fake.default_script = backend.hang
+        later = site.start_call("/unsafe/x")
         gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
         site.write_row("one", "app", State="draining")
         (endpoint,) = site.gateway.directory.usable("app", set())
         gatewaysite.wait_until(lambda: endpoint.leave_at != clock.NEVER, "it leaves")
         fake.stop()
         assert later.get().status == 502
-        site.gateway._sender.settle_breaks()
+        site.gateway._sender.resolve_breaks()
         assert site.gateway.quarantine.is_empty
 
 
@@ -117,10 +119,10 @@
         site.gateway.quarantine.note(
             fingerprint_of("/safe/x", b""), "a", quarantine.BEGUN_WEIGHT
         )
-        fake.usual = backend.hang
-        first = site.call_later("/safe/x", X_Deadline_Ms="20000")
+        fake.default_script = backend.hang
+        first = site.start_call("/safe/x", X_Deadline_Ms="20000")
         gatewaysite.wait_until(lambda: bool(fake.seen), "the first one runs")
-        fake.usual = backend.answer
+        fake.default_script = backend.answer
         second = site.call("/safe/x")
         # It was not sent, and says so.
         assert second.status == 503 and float(second.headers["retry-after"]) >= 0
@@ -147,7 +149,7 @@
     with gatewaysite.GatewaySite() as site:
         fakes = [site.add(f"e{number}", "app") for number in range(3)]
         for fake in fakes:
-            fake.usual = backend.fail()
+            fake.default_script = backend.fail()
         for _ in range(3):
             assert site.call("/safe/x", b"fails").status == 500
         assert site.gateway.quarantine.is_empty
--- a/gaprock/test/testpolicies.py
+++ b/gaprock/test/testpolicies.py
@@ -245,7 +245,7 @@
     granted = 0
     for _ in range(1000):
         budget.record_first()
-        granted += budget.take_second()
+        granted += budget.spend_retry()
     assert 99 <= granted <= 101
 
 
@@ -323,14 +323,15 @@
     template = site.template("a@1", "b@1")
     config_.apply(testconfig.delta_of(1, 0, site.workspace(), template, rollout))
     chosen = [
-        entry_versions.rule(config_, template, f"r{n}").versions for n in range(2000)
+        entry_versions.allowed_versions(config_, template, f"r{n}").versions
+        for n in range(2000)
     ]
     assert 300 < chosen.count(["b@1"]) < 500
     config_.add_urgent([config.halt_key("b@1", 1)])
-    assert entry_versions.rule(config_, template, "r1").versions == ["a@1"]
+    assert entry_versions.allowed_versions(config_, template, "r1").versions == ["a@1"]
     config_.add_urgent([config.WITHDRAWN + "a@1"])
     with pytest.raises(errors.GaprockError):
-        entry_versions.rule(config_, template, "r1")
+        entry_versions.allowed_versions(config_, template, "r1")
 
 
 def test_evidence_is_summed_over_sources_and_counted_once() -> None:
@@ -371,8 +372,10 @@
     config_ = config.Config()
     template = site.template("a@1", planned_start=NOW + 100, expected_rate=50.0)
     config_.apply(testconfig.delta_of(1, 0, site.workspace(), template))
-    assert entry_duties.demands_of(config_, NOW) == [policy_api.Demand("a@1", 50.0)]
-    assert entry_duties.demands_of(config_, NOW - 9e5) == [
+    assert entry_duties.expected_demands(config_, NOW) == [
+        policy_api.Demand("a@1", 50.0)
+    ]
+    assert entry_duties.expected_demands(config_, NOW - 9e5) == [
         policy_api.Demand("a@1", 0.0)
     ]
 
--- a/gaprock/test/testprompts.py
+++ b/gaprock/test/testprompts.py
@@ -138,7 +138,7 @@
         gatewaysite.wait_until(lambda: site.gateway.directory.has_memory("llm"), "room")
         prompt = {"X_Token_Counts": "5000,20", "X_Prompt_Prefix": "s:4900,own:100"}
         for fake in fakes:
-            fake.usual = backend.stream_to(3)
+            fake.default_script = backend.stream_to(3)
         site.generate(**prompt)
         first = [fake for fake in fakes if fake.seen]
         for number in range(8):
--- a/gaprock/test/testreborn.py
+++ b/gaprock/test/testreborn.py
@@ -154,7 +154,7 @@
     with gatewaysite.GatewaySite() as site:
         fake = site.add("one", "app", born=BORN)
         hang_once(fake)
-        later = site.call_later(target, X_Deadline_Ms="20000")
+        later = site.start_call(target, X_Deadline_Ms="20000")
         gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
         # It crashed and is back within a heartbeat; the old connection says nothing.
         site.write_row("one", "app", born=BORN + 5)
@@ -167,7 +167,7 @@
     with gatewaysite.GatewaySite() as site:
         fake = site.add("one", "llm", born=BORN)
         fake.scripts.append(backend.stream_to(2, whole=False, silent=True))
-        later = gatewaysite.Later(lambda: site.generate(X_Deadline_Ms="20000"))
+        later = gatewaysite.PendingCall(lambda: site.generate(X_Deadline_Ms="20000"))
         gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
         site.write_row("one", "llm", born=BORN + 5)
         answer = later.get()
--- a/gaprock/test/testrefusals.py
+++ b/gaprock/test/testrefusals.py
@@ -110,7 +110,7 @@
     """A hub without a socket: messages go in, and come out in a list."""
 
     def __init__(self) -> None:
-        self.rig = testconfig.GateRig()
+        self.rig = testconfig.GateCase()
         cfg = options.Options()
         cfg.agent_port = 0
         config_, gate = self.rig.config, self.rig.gate
--- a/gaprock/test/testrouting.py
+++ b/gaprock/test/testrouting.py
@@ -61,7 +61,7 @@
     end = b"\r\n" if crlf else b"\n"
     raws = [b"id: %d%sdata: x%s%s" % (n, end, end, end) for n in range(1, 8)]
     data = b"".join(raws) + b"id: 8\ndata"[:torn]
-    splitter = event_stream.Splitter()
+    splitter = event_stream.EventSplitter()
     found = []
     for size in cuts:
         found += splitter.feed(data[:size])
@@ -69,7 +69,7 @@
     found += splitter.feed(data)
     assert [e.raw for e in found] == raws
     assert [e.number for e in found] == list(range(1, 8))
-    assert splitter.torn == (torn > 0)
+    assert splitter.is_incomplete == (torn > 0)
 
 
 @hypothesis.settings(derandomize=True, max_examples=100)
--- a/gaprock/test/testsessions.py
+++ b/gaprock/test/testsessions.py
@@ -47,7 +47,7 @@
         s.start()
         s.publish(site.template("small@2"))
         token, version = open_session(s)
-        s.entries[0].publisher.urge(documents.Halt("small@2", 0))
+        s.entries[0].publisher.publish_urgent(documents.Halt("small@2", 0))
         s.wait_in_force()
         with pytest.raises(errors.GaprockError) as caught:
             s.chat()
--- a/gaprock/test/testsilent.py
+++ b/gaprock/test/testsilent.py
@@ -32,7 +32,7 @@
     proxy = cutproxy.CutProxy(fake_store.port)
     with rowcase.FollowedStore(fake_store, port=proxy.port) as case:
         gatewaysite.wait_until(lambda: "/-/rows-feed" in fake_store.calls, "it polls")
-        proxy.mute()
+        proxy.silence_connections()
         fake_store.put("t", "b", 1)
         gatewaysite.wait_until(lambda: case.kept.keys == {"a", "b"}, "it is taken")
         fake_store.put("t", "c", 1)
@@ -52,7 +52,7 @@
         "commit": lambda: store.commit([gateway_api.Write("t", "k", b"1")]),
     }
     calls[call]()
-    proxy.mute()
+    proxy.silence_connections()
     with pytest.raises(gateway_api.StoreError):
         calls[call]()
     calls[call]()
@@ -72,7 +72,7 @@
         start.join()
     del fake_store.faults["delay"]
     # Three connections are kept now, and all go silent; a call meets one at most.
-    proxy.mute()
+    proxy.silence_connections()
     with pytest.raises(gateway_api.StoreError):
         store.changes("t", 0)
     store.changes("t", 0)
@@ -114,14 +114,14 @@
         """Have the first endpoint's answer go silent after its first bytes."""
 
         def script(
-            fake: backend.Backend, seen: backend.Seen, conn: socket.socket
+            fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
         ) -> None:
             conn.sendall(
                 heard.replace(b"REQUEST", seen.headers["x-request-id"].encode())
             )
             # What was sent has passed the relay before it goes silent.
             threading.Event().wait(0.2)
-            self.proxy.mute()
+            self.proxy.silence_connections()
             conn.sendall(unheard)
             # The end of a connection would be heard.
             self._over.wait()
@@ -203,11 +203,13 @@
     fakes = [site.add(name, "app") for name in ("a", "b")]
     turn = iter([backend.fail(), backend.hang])
 
-    def script(fake: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+    def script(
+        fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+    ) -> None:
         next(turn)(fake, seen, conn)
 
     for fake in fakes:
-        fake.usual = script
+        fake.default_script = script
     leave_while_one_hangs(site, fakes, site.request("/safe/x"))
 
 
@@ -217,11 +219,13 @@
     fakes = [site.add(name, "llm") for name in ("a", "b")]
     turn = iter([backend.stream_to(5, confidence="10"), backend.hang])
 
-    def script(fake: backend.Backend, seen: backend.Seen, conn: socket.socket) -> None:
+    def script(
+        fake: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
+    ) -> None:
         next(turn)(fake, seen, conn)
 
     for fake in fakes:
-        fake.usual = script
+        fake.default_script = script
     data = site.request(
         "/gen/x", X_Model="*", X_Token_Counts="100,20", X_Prompt_Prefix="a:100"
     )
--- a/gaprock/test/teststoreretry.py
+++ b/gaprock/test/teststoreretry.py
@@ -53,4 +53,4 @@
     answer = urllib3.HTTPResponse(b"", headers={"Retry-After": text}, status=429)
     with pytest.raises(gateway_api.StoreError) as caught:
         store._checked(answer)
-    assert caught.value.retry_s == seconds
+    assert caught.value.retry_after_s == seconds
--- a/gaprock/test/teststreams.py
+++ b/gaprock/test/teststreams.py
@@ -171,7 +171,7 @@
         answer = s.chat(stream=True)
         assert answer.parts is not None
         next(answer.parts)
-        proxy.flowing.clear()
+        proxy.data_flows.clear()
         data = site.collect(answer)
         proxy.stop()
         assert b"[DONE]" not in data and b"event: error" in data
--- a/gaprock/test/testsuspended.py
+++ b/gaprock/test/testsuspended.py
@@ -63,8 +63,8 @@
 
 
 def test_a_suspension_is_counted(hands: Hands) -> None:
-    steady, standing = clock.SteadyClock(), clock.StandingClock()
-    watch = clock.GapWatch(steady, 60.0)
+    steady, standing = clock.SteadyClock(), clock.MonotonicClock()
+    watch = clock.GapDetector(steady, 60.0)
     before, before_standing = steady.now(), standing.now()
     assert watch.look() == []
     hands.suspend(20.0)
@@ -76,7 +76,7 @@
 
 def test_a_process_that_stood_still_is_told_from_a_machine_that_was_suspended() -> None:
     steady, standing = clock.ManualClock(), clock.ManualClock()
-    watch = clock.GapWatch(steady, 1.0, standing)
+    watch = clock.GapDetector(steady, 1.0, standing)
     for one in (steady, standing):
         one.advance(5.0)
     assert watch.look() == [clock.Gap(clock.STOOD_STILL, 4.0)]
@@ -119,8 +119,8 @@
     with make_site(hands) as site:
         fakes = [site.add(f"e{number}", "app") for number in range(2)]
         for fake in fakes:
-            fake.usual = backend.hang
-        later = site.call_later("/safe/x", X_Deadline_Ms="20000")
+            fake.default_script = backend.hang
+        later = site.start_call("/safe/x", X_Deadline_Ms="20000")
         gatewaysite.wait_until(lambda: any(f.seen for f in fakes), "it waits")
         hands.suspend(20.0)
         answer = later.get()
@@ -130,7 +130,7 @@
 
 def test_a_send_after_a_suspension_says_what_time_is_left(hands: Hands) -> None:
     def suspend_first(
-        fake: backend.Backend, seen: backend.Seen, conn: typing.Any
+        fake: backend.Backend, seen: backend.ReceivedRequest, conn: typing.Any
     ) -> None:
         hands.suspend(0.5)
         backend.refuse(503)(fake, seen, conn)
@@ -148,8 +148,8 @@
 def test_a_planned_stop_ends_in_time_after_a_suspension(hands: Hands) -> None:
     with make_site(hands) as site:
         fake = site.add("one", "app")
-        fake.usual = backend.hang
-        later = site.call_later("/unsafe/x", X_Deadline_Ms="60000")
+        fake.default_script = backend.hang
+        later = site.start_call("/unsafe/x", X_Deadline_Ms="60000")
         gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
         stop = threading.Thread(target=site.gateway.stop, daemon=True)
         stop.start()
--- a/gaprock/test/testunstopped.py
+++ b/gaprock/test/testunstopped.py
@@ -42,7 +42,7 @@
         steady.sleep(old_takes_s)
         backend.answer(*args)
 
-    old.usual = answer_late
+    old.default_script = answer_late
     for _ in range(2 * rollout_latency.MIN_TIMES):
         assert site.call("/unsafe/x").status == 200
     fake = site.add("new", "app", Version="v2")
@@ -58,7 +58,7 @@
 def test_a_version_that_gives_no_answers_is_stopped(leaves: bool) -> None:
     with gatewaysite.GatewaySite() as site:
         fake, requests = order_beside(site, 0.0)
-        fake.usual = backend.hang
+        fake.default_script = backend.hang
         for first in range(0, ASKED, AT_A_TIME):
             threads = [
                 threading.Thread(target=ask_in_vain, args=(site, one, leaves))
@@ -154,7 +154,7 @@
 def test_answers_that_break_off_speak_against_their_version() -> None:
     with gatewaysite.GatewaySite() as site:
         fake, requests = order_beside(site, 0.0)
-        fake.usual = backend.reset
+        fake.default_script = backend.reset
 
         def is_halted() -> bool:
             site.call("/unsafe/x", X_Request_Id=requests.pop())
@@ -168,9 +168,9 @@
         # Nothing is late before it has crashed.
         fake, requests = order_beside(site, 0.3)
         crashed = threading.Event()
-        fake.usual = lambda *args: typing.cast(None, crashed.wait(10.0))
+        fake.default_script = lambda *args: typing.cast(None, crashed.wait(10.0))
         later = [
-            site.call_later("/unsafe/x", X_Request_Id=name)
+            site.start_call("/unsafe/x", X_Request_Id=name)
             for name in requests[:AT_A_TIME]
         ]
         gatewaysite.wait_until(lambda: len(fake.seen) == AT_A_TIME, "they run")
@@ -184,7 +184,7 @@
     with gatewaysite.GatewaySite() as site:
         fake, requests = order_beside(site, 0.0)
         other = site.add("other", "app", Version="v2")
-        fake.usual = other.usual = backend.fail()
+        fake.default_script = other.default_script = backend.fail()
         # Both are asked where a share of the version's endpoints is both of them.
         book = site.gateway.rollouts
         book.all()[0].started_at -= 0.7 * 600
--- a/gaprock/test/testwarmup.py
+++ b/gaprock/test/testwarmup.py
@@ -247,7 +247,7 @@
             "configuration",
         )
         fake = site.add("cold", "llm", ColdMs=60_000)
-        answers = [site.call_later("/gen/x") for _ in range(6)]
+        answers = [site.start_call("/gen/x") for _ in range(6)]
         statuses = [later.get().status for later in answers]
         assert statuses.count(200) >= 1
         assert set(statuses) <= {200, 503}
--- a/misc/proofs.py
+++ b/misc/proofs.py
@@ -290,8 +290,8 @@
         (
             Edit(
                 "claims.py",
-                "services_api.Op(key, expect, value)",
-                "services_api.Op(key, services_api.ANY_VERSION, value)",
+                "services_api.TableOp(key, expect, value)",
+                "services_api.TableOp(key, services_api.ANY_VERSION, value)",
             ),
         ),
     ),
@@ -419,7 +419,7 @@
         (
             Edit(
                 "agent_main.py",
-                "self.gate.drain(deadline) and self._wait_taken(deadline)",
+                "self.gate.drain(deadline) and self._wait_acknowledged(deadline)",
                 "True",
             ),
         ),
@@ -428,7 +428,7 @@
         9,
         "an end that was not acknowledged is posted again",
         "testleaving.py::test_a_lost_acknowledgement_does_not_hold_up_a_planned_stop",
-        (Edit("agent_hub.py", "            self._remind(peer, now)\n", ""),),
+        (Edit("agent_hub.py", "            self._resend_ends(peer, now)\n", ""),),
     ),
     Proof(
         10,
@@ -438,8 +438,8 @@
         (
             Edit(
                 "config_store.py",
-                "services_api.Op(HEAD, head.version, {",
-                "services_api.Op(HEAD, services_api.ANY_VERSION, {",
+                "HEAD, head.version, {",
+                "HEAD, services_api.ANY_VERSION, {",
             ),
             Edit(
                 "config_store.py",
@@ -457,8 +457,8 @@
         (
             Edit(
                 "config_store.py",
-                "services_api.Op(HEAD, head.version, {",
-                "services_api.Op(HEAD, services_api.ANY_VERSION, {",
+                "HEAD, head.version, {",
+                "HEAD, services_api.ANY_VERSION, {",
             ),
             Edit(
                 "config_store.py",
--- a/misc/proofs_gateway_mesh.py
+++ b/misc/proofs_gateway_mesh.py
@@ -32,7 +32,8 @@
         "a process that stops refuses in the end",
         "testgatewaystops.py::test_a_process_at_its_end_takes_nothing_more",
         "gateway_node.py",
-        "        self.server.end_at = self.server.take_all_until = self.clock.now()\n",
+        "        self.server.stop_deadline = "
+        "self.server.accept_all_until = self.clock.now()\n",
     ),
     proofs.gateway(
         "halts and newer rows go to far peers at once",
