--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -107,8 +107,8 @@
     def _refuse_unservable(self, call: gateway_call.Call) -> None:
         """Refuse a call at once if no endpoint can run it now.
 
-        :raises gateway_call.CallError: if its halls are cordoned, or every endpoint that
-            may run it is gone or did not accept a connection a moment ago.
+        :raises gateway_call.CallError: if its halls are cordoned, or every endpoint
+            that may run it is gone or did not accept a connection a moment ago.
         """
         if self._chooser.has_no_permitted_hall(call):
             raise self._no_permitted_hall(call)
