--- a/gaprock/answers.py
+++ b/gaprock/answers.py
@@ -59,7 +59,7 @@
 
 
 class ErrorInfo(msgspec.Struct):
-    """Content of an error's JSON; its first three fields are common to such APIs."""
+    """Content of an error's JSON; the first three fields follow common usage."""
 
     message: str
     type: str
--- a/gaprock/event_stream.py
+++ b/gaprock/event_stream.py
@@ -31,7 +31,7 @@
 
     @property
     def is_incomplete(self) -> bool:
-        """Whether a part of an event is left."""
+        """Whether a part of an event is buffered."""
         return bool(self._buffer.strip())
 
     def feed(self, data: bytes) -> list[Event]:
--- a/gaprock/gateway_api.py
+++ b/gaprock/gateway_api.py
@@ -38,7 +38,7 @@
 
 
 class Write(typing.NamedTuple):
-    """A row to write, provided that it has an expected version.
+    """A row to write, on condition that it still has the expected version.
 
     :param expect: the version that the row must have; ``None`` for any, 0 for no row.
     :param value: ``None`` removes the row.
@@ -53,7 +53,7 @@
 class StoreError(Exception):
     """The store did not answer, or refused; the outcome of a write may be unknown.
 
-    :param retry_after_s: when to ask again; 0 if the store did not say.
+    :param retry_after_s: time after which to ask again; 0 if the store did not say.
     """
 
     def __init__(self, detail: str, retry_after_s: float = 0.0) -> None:
@@ -142,7 +142,7 @@
 
 
 class EndpointRow(typing.NamedTuple):
-    """An endpoint as reported by itself.
+    """An endpoint's report about itself.
 
     :param version: version of its software, which rollouts change.
     :param born: its start, in Unix milliseconds; 0 if it does not report one.
--- a/gaprock/gateway_call.py
+++ b/gaprock/gateway_call.py
@@ -181,7 +181,7 @@
 
     @property
     def sends_left(self) -> int:
-        """Number of sends that are left to it."""
+        """Number of sends that are left."""
         return self.route.attempts - self.sends
 
     @property
@@ -204,7 +204,7 @@
     """Ends a call with a final answer of the gateway itself.
 
     :param code: the registered result code.
-    :param retry_after_s: when to retry a call that was not run.
+    :param retry_after_s: time after which to retry a call that was not run.
     """
 
     def __init__(
--- a/gaprock/gateway_http.py
+++ b/gaprock/gateway_http.py
@@ -3,9 +3,9 @@
 The server (``cheroot``) reads heads and bodies, keeps connections open and runs the
 threads.  CherryPy's bus and tree are not used: their import takes a large part of the
 start on a small vm, and the bus checks a port by connecting to it.  Requests are served
-on their connection instead of through WSGI, because a router needs what WSGI hides: the
-target and the headers exactly as received, the caller's socket to notice that the
-caller left, and a way to break off a stream.
+directly on their connection instead of through WSGI, because a router needs what WSGI
+hides: the target and the headers exactly as received, the caller's socket to notice
+that the caller left, and a way to break off a stream.
 """
 
 import collections
@@ -230,7 +230,7 @@
     def stop(self) -> None:
         """Stop listening, and close idle connections.
 
-        The pool must have stopped growing before.  Otherwise threads that are still
+        The thread that grows the pool is ended first.  Otherwise threads that are still
         starting would consume the stop signals of busy threads that the pool knows, and
         the pool would wait for these forever.
         """
--- a/gaprock/gateway_relay.py
+++ b/gaprock/gateway_relay.py
@@ -167,9 +167,9 @@
         attempt: gateway_attempt.Attempt,
         sends: SendService,
     ) -> bool:
-        """Prepare a call whose answer is a failure for a send elsewhere, if allowed.
+        """Record an answer without success, and decide whether to send the call again.
 
-        :returns: whether to send it again.
+        Only a failure of the endpoint is repeated elsewhere, if the call may be.
         """
         failed = attempt.head.status >= gateway_attempt.SERVER_ERROR
         self._judge.answered(call, attempt, failed)
@@ -280,9 +280,9 @@
         last: int | None,
         exc: Exception,
     ) -> None:
-        """Give up a source that is past its deadline, or lost and can be resumed.
+        """Stop a source that is past its deadline, or lost and can be resumed.
 
-        :raises _Interrupted: when it is given up.
+        :raises _Interrupted: when it is stopped.
         """
         silence_limit_s = gateway_sender.STREAM_SILENCE_GAPS * call.route.gap_s
         reason = self._sender.lost_reason(
--- a/gaprock/gateway_sender.py
+++ b/gaprock/gateway_sender.py
@@ -23,17 +23,18 @@
 CHECK_TIMEOUT_S: typing.Final = 0.25
 # Interval between two checks of an endpoint that has not answered.
 CHECK_INTERVAL_S: typing.Final = 0.15
-# A send of a call without a stream may be given up after this share of the route's
-# goal, but not before ``MIN_SILENCE_S``, if the endpoint has free slots: its load is at
-# most ``FREE_LOAD_SHARE`` of its slots.  Otherwise the request is queued there.
+# The wait for a whole answer may be given up after a silence of this share of the
+# route's goal, but not before ``MIN_SILENCE_S``.  That holds while the endpoint has
+# free slots, which means a load of at most ``FREE_LOAD_SHARE`` of its slots; where all
+# are taken, the request is queued at the endpoint.
 SILENCE_GOAL_SHARE: typing.Final = 0.6
 MIN_SILENCE_S: typing.Final = 0.25
 FREE_LOAD_SHARE: typing.Final = 0.8
 # A busy engine begins a stream late.  It is taken to have lost the request if it goes
 # on answering others for this multiple of the route's goal.
 STREAM_SILENCE_GOALS: typing.Final = 1.5
-# A stream that has begun is taken for lost after a silence of this multiple of the
-# longest event gap that is in time.
+# A stream that has begun counts as lost after a silence of this multiple of the longest
+# event gap that is in time.
 STREAM_SILENCE_GAPS: typing.Final = 2.5
 
 
@@ -204,9 +205,9 @@
         attempt: gateway_attempt.Attempt,
         may_give_up: typing.Callable[[], bool],
     ) -> None:
-        """Give up an endpoint that has not answered, if waiting on is not worthwhile.
+        """Stop waiting for an endpoint that has not answered, if it is not worthwhile.
 
-        :raises gateway_attempt.Failed: when it is given up.
+        :raises gateway_attempt.Failed: when the wait ends.
         """
         reason = self._give_up_reason(call, attempt, attempt.sent_at, may_give_up)
         if not reason:
@@ -273,7 +274,7 @@
     def record_break(
         self, call: gateway_call.Call, attempt: gateway_attempt.Attempt
     ) -> None:
-        """Record that an answer broke off, and whether its endpoint still lives."""
+        """Record that an answer broke off, and whether its endpoint is still alive."""
         endpoint = attempt.endpoint
         weight = self._gate.weight(call, attempt)
         lives = bool(weight) or self._judge.judges_breaks(call)
@@ -299,14 +300,17 @@
         self._gate.resolve_broken(self._connects)
 
     def _is_unreachable_now(self, attempt: gateway_attempt.Attempt) -> bool:
-        """Check a silent endpoint: a busy one still accepts connections."""
+        """Return whether a check finds a silent endpoint unreachable.
+
+        An endpoint that is only busy still accepts connections.
+        """
         endpoint = attempt.endpoint
         return self._directory.claim_silence_check(endpoint) and not self._connects(
             endpoint
         )
 
     def _accepts_connections(self, endpoint: endpoint_state.Endpoint) -> bool:
-        """Check whether an endpoint accepts a connection, if a check is due."""
+        """Return whether an endpoint just accepted a connection that checks it."""
         return self._directory.claim_connection_check(endpoint) and self._connects(
             endpoint
         )
--- a/gaprock/gateway_serve.py
+++ b/gaprock/gateway_serve.py
@@ -262,8 +262,8 @@
                     lambda: self.may_repeat(call),
                 )
             except gateway_attempt.NotRun as exc:
-                # An endpoint that accepted no connection was sent nothing, so this
-                # does not count as a send.
+                # An endpoint that accepted no connection was sent nothing, so trying
+                # another one is no repeat.
                 if call.sends == sends and self._clock.now() < call.deadline:
                     continue
                 if not self._may_send_again(call):
--- a/gaprock/http_exchange.py
+++ b/gaprock/http_exchange.py
@@ -249,7 +249,7 @@
 
 
 def _set_options(sock: socket.socket) -> None:
-    """Have small writes sent at once, and a peer that went silent noticed."""
+    """Set options that send small writes at once and detect a silent peer."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
--- a/gaprock/test/fakes/backend.py
+++ b/gaprock/test/fakes/backend.py
@@ -124,7 +124,7 @@
 
 
 def answer(backend: Backend, seen: ReceivedRequest, conn: socket.socket) -> None:
-    """Answer as by default: a stream on the stream's path, else a short body."""
+    """Send the default answer: a stream on the stream's path, else a short body."""
     if seen.target.startswith(STREAM_PATH):
         stream_to(backend.events)(backend, seen, conn)
         return
--- a/gaprock/test/testhttp.py
+++ b/gaprock/test/testhttp.py
@@ -200,7 +200,7 @@
 
 
 def key_pair(start: str) -> tuple[str, str]:
-    """Make a key pair whose public key begins with a text."""
+    """Make a key pair whose public key begins with ``start``."""
     while True:
         public, secret = (key.decode() for key in zmq.curve_keypair())
         if public.startswith(start):
--- a/gaprock/test/testsilent.py
+++ b/gaprock/test/testsilent.py
@@ -31,12 +31,18 @@
     fake_store = metastore.MetaStoreFake()
     proxy = cutproxy.CutProxy(fake_store.port)
     with rowcase.FollowedStore(fake_store, port=proxy.port) as case:
-        gatewaysite.wait_until(lambda: "/-/rows-feed" in fake_store.calls, "it polls")
+        gatewaysite.wait_until(
+            lambda: "/-/rows-feed" in fake_store.calls, "a long poll is open"
+        )
         proxy.silence_connections()
         fake_store.put("t", "b", 1)
-        gatewaysite.wait_until(lambda: case.kept.keys == {"a", "b"}, "it is taken")
+        gatewaysite.wait_until(
+            lambda: case.kept.keys == {"a", "b"}, "the first change is applied"
+        )
         fake_store.put("t", "c", 1)
-        gatewaysite.wait_until(lambda: "c" in case.kept.keys, "by a poll that is heard")
+        gatewaysite.wait_until(
+            lambda: "c" in case.kept.keys, "the second change is applied"
+        )
     proxy.stop()
 
 
@@ -98,7 +104,7 @@
         self.proxy = cutproxy.CutProxy(self.first.port)
         self._test_is_over = threading.Event()
         site.write_row("a", service, Addr=f"127.0.0.1:{self.proxy.port}")
-        gatewaysite.wait_until(self._is_behind_proxy, "the relay is known")
+        gatewaysite.wait_until(self._is_behind_proxy, "the proxy is known")
 
     def __enter__(self) -> "SilencedSite":
         return self
