--- a/gaprock/gateway_main.py
+++ b/gaprock/gateway_main.py
@@ -1,8 +1,8 @@
-"""``gaprock-gateway``: where the program starts; ``gateway_program`` is all of it.
+"""Entry point of ``gaprock-gateway``; ``gateway_program`` has the program itself.
 
-SIGHUP says that the settings changed, and its default ends a process.  The imports of a
-start take a second on a small machine, so it is ignored before them; the settings are
-read later anyway.
+SIGHUP means that the settings have changed, but its default action ends the process.
+The imports take about a second on a small machine, so SIGHUP is ignored before they
+start.  No change is lost: the settings are read after the imports.
 """
 
 import signal
@@ -10,7 +10,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; give its exit code."""
+    """Run the program and return its exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from gaprock import gateway_program
 
--- a/gaprock/gateway_metrics.py
+++ b/gaprock/gateway_metrics.py
@@ -1,18 +1,18 @@
-"""Counters and histograms of a gateway, served as Prometheus text.
+"""Counters, gauges and histograms of a gateway, served as Prometheus text.
 
-``docs/OPERATIONS.md`` lists the names and what each one means.
+``docs/OPERATIONS.md`` lists the names and their meanings.
 """
 
 import typing
 
 import prometheus_client
 
-# Bounds of the latency histograms, seconds.
+# Upper bounds of the buckets of the latency histograms, seconds.
 BUCKETS: typing.Final = (0.01, 0.03, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0)
 
 
 class GatewayMetrics:
-    """All metrics of one process, in a registry of their own."""
+    """All metrics of a process, in their own registry."""
 
     __slots__ = (
         "registry",
@@ -45,13 +45,13 @@
         self.registry = registry
         self.requests = prometheus_client.Counter(
             "gaprock_requests_total",
-            "Requests by route and what became of them",
+            "Requests, by route and result",
             ["route", "result"],
             registry=registry,
         )
         self.sends = prometheus_client.Counter(
             "gaprock_sends_total",
-            "Sends to endpoints by service and outcome",
+            "Sends to endpoints, by service and outcome",
             ["service", "outcome"],
             registry=registry,
         )
@@ -63,14 +63,14 @@
         )
         self.first_byte = prometheus_client.Histogram(
             "gaprock_first_byte_seconds",
-            "Time to the first byte for the caller, by route",
+            "Time until the caller gets the first byte, by route",
             ["route"],
             buckets=BUCKETS,
             registry=registry,
         )
         self.whole = prometheus_client.Histogram(
             "gaprock_whole_seconds",
-            "Time to the end of the answer, by route",
+            "Time until the answer ends, by route",
             ["route"],
             buckets=BUCKETS,
             registry=registry,
@@ -80,11 +80,13 @@
         )
         self.log_lines_dropped = prometheus_client.Gauge(
             "gaprock_log_lines_dropped",
-            "Log lines that the full pipe or the rate limit dropped",
+            "Log lines dropped because of a full pipe or the rate limit",
             registry=registry,
         )
         self.config_number = prometheus_client.Gauge(
-            "gaprock_config_number", "Configuration in force", registry=registry
+            "gaprock_config_number",
+            "Number of the configuration in force",
+            registry=registry,
         )
         self.store_connected = prometheus_client.Gauge(
             "gaprock_store_connected",
@@ -94,7 +96,7 @@
         )
         self.store_proof_age = prometheus_client.Gauge(
             "gaprock_store_proof_age_seconds",
-            "Time since a table was known to be as the store has it",
+            "Time since a table was last verified to match the store, by table",
             ["table"],
             registry=registry,
         )
@@ -116,43 +118,43 @@
         )
         self.clock_gaps = prometheus_client.Counter(
             "gaprock_clock_gap_seconds",
-            "Time in which this process did nothing, by kind",
+            "Time in which this process did not run, by kind",
             ["kind"],
             registry=registry,
         )
         self.requests_held = prometheus_client.Gauge(
             "gaprock_requests_held",
-            "Requests that are held back, since endpoints ended as they began",
+            "Requests in quarantine, since endpoints crashed as they began to run them",
             registry=registry,
         )
         self.endpoints_limited = prometheus_client.Gauge(
             "gaprock_endpoints_limited",
-            "Endpoints that name a rate limit",
+            "Endpoints that announce a rate limit",
             registry=registry,
         )
         self.sends_paced = prometheus_client.Gauge(
             "gaprock_sends_paced",
-            "Sends that went elsewhere or waited, since a rate limit left no room",
+            "Sends that were queued or went elsewhere because of a rate limit",
             registry=registry,
         )
         self.endpoints_leaving = prometheus_client.Gauge(
             "gaprock_endpoints_leaving",
-            "Endpoints that say in their answers that they leave",
+            "Endpoints that announce in their answers that they are leaving",
             registry=registry,
         )
         self.endpoints_backing_off = prometheus_client.Gauge(
             "gaprock_endpoints_backing_off",
-            "Endpoints that shed load and want no requests from this gateway now",
+            "Endpoints that shed load, with a backoff in force for this gateway",
             registry=registry,
         )
         self.backoffs = prometheus_client.Gauge(
             "gaprock_backoffs",
-            "Backoffs that endpoints asked this gateway for since the start",
+            "Backoffs that endpoints asked of this gateway since the start",
             registry=registry,
         )
         self.sends_backed_off = prometheus_client.Gauge(
             "gaprock_sends_backed_off",
-            "Sends that a backoff stopped at the last look before they left",
+            "Sends that a backoff stopped at the last check before sending",
             registry=registry,
         )
         self.invalid_rows = prometheus_client.Gauge(
@@ -163,5 +165,5 @@
         )
 
     def render(self) -> bytes:
-        """Give the text of all metrics."""
+        """Return all metrics as Prometheus text."""
         return prometheus_client.generate_latest(self.registry)
--- a/gaprock/gateway_node.py
+++ b/gaprock/gateway_node.py
@@ -1,11 +1,12 @@
-"""One gateway: its parts, how they are joined, its start and its planned stop.
+"""A gateway process: how its parts are connected, its start and its planned stop.
 
-The start is in this order: ports, then the rows of the shared store.  A gateway is
-ready when it knows the configuration, the endpoints and the outcomes of rollouts.
+The start opens the ports first and then reads the rows of the shared store.  A gateway
+is ready when it knows the configuration, the endpoints and the outcomes of rollouts.
 
-A planned stop: the readiness check fails at once; what still comes is served while it
-can end in time, later requests are told to come back elsewhere, and the stop is over
-when nothing is open, or just before the process would be killed.
+When a planned stop begins, the readiness check fails at once.  New requests are served
+as long as they can end in time; later ones are refused with a short retry time, so that
+another gateway serves them.  The stop ends when no request is open, or just before the
+process would be killed.
 """
 
 import threading
@@ -52,42 +53,47 @@
 )
 
 METRICS_PATH: typing.Final = "/metrics"
-# Each open call has a thread; some more answer those that are refused.
+# Each open call occupies a thread; the spare ones answer requests that are refused.
 SPARE_THREADS: typing.Final = 24
-# Calls that a megabyte of memory carries, from the measured growth of about 0.25 MB a
-# call, with half of the memory left for everything else.
+# Open calls per megabyte of memory: a call was measured to take about 0.25 MB, and half
+# of the memory is left for everything else.
 CALLS_PER_MB: typing.Final = 1.1
 MAX_CALLS: typing.Final = 320
-# A call has its caller's connection and one to an endpoint; files, the store, peers and
-# the ports have the others; so many callers may rest whatever is left.
+# File descriptors: a call uses its caller's connection and one to an endpoint.  Files,
+# the store, peers and the ports get a fixed number.  The rest is for callers' idle
+# connections, of which a minimum is allowed even if too few descriptors are left.
 DESCRIPTORS_PER_CALL: typing.Final = 2
 OTHER_DESCRIPTORS: typing.Final = 400
-MIN_RESTING: typing.Final = 100
+MIN_IDLE_CONNECTIONS: typing.Final = 100
 # Periods of the background tasks, seconds.
 ROLLOUT_STEP_S: typing.Final = 0.2
 HOUSEKEEPING_S: typing.Final = 1.0
-CLOCKS_S: typing.Final = 0.5
-# Two looks at the clocks are no further apart on a busy machine, seconds.
-CLOCKS_MOST_S: typing.Final = 1.0
-# Each reading of changes is a priced call, so changes are gathered: orders for a
-# moment, endpoints for a share of the time that a leaving one may still be sent to.
+CLOCK_CHECK_S: typing.Final = 0.5
+# Longest time between two clock checks on a busy machine, seconds; a longer one counts
+# as a gap.
+MAX_CLOCK_CHECK_S: typing.Final = 1.0
+# Each read of changes is a billed call to the store, so changes are gathered: orders
+# for this many seconds, endpoints for this share of the time in which a leaving
+# endpoint may still get requests.
 GATHER_ORDERS_S: typing.Final = 0.1
-GATHER_SHARE: typing.Final = 0.25
-# A planned stop: every request is taken for this long, seconds, or this share of the
-# time until the process is killed; later ones only if their time ends before that.  A
-# bound learned from the routes' answers, twice the longest of late, cut streams on
-# loaded engines.
-TAKE_ALL_S: typing.Final = 2.8
-TAKE_ALL_SHARE: typing.Final = 0.4
-END_AT: typing.Final = 0.92
-# Callers that the balancer still sends come within this time, seconds.
-LINGER_S: typing.Final = 3.5
-# Between the last request that is taken and the end, seconds.
-CLOSING_S: typing.Final = 0.15
+GATHER_ENDPOINTS_SHARE: typing.Final = 0.25
+# In a planned stop every request is accepted for this many seconds or for this share of
+# the grace period, whichever is shorter.  After that only requests are accepted whose
+# route's time-out ends before the stop's deadline, which is a share of the grace period
+# too.  A limit learned from the routes' answers (twice the longest recent one) cut off
+# streams on loaded engines.
+ACCEPT_ALL_S: typing.Final = 2.8
+ACCEPT_ALL_SHARE: typing.Final = 0.4
+STOP_DEADLINE_SHARE: typing.Final = 0.92
+# Time in which the balancer may still send new callers after the readiness check fails,
+# seconds.
+BALANCER_DELAY_S: typing.Final = 3.5
+# Time between the last accepted request and the end of the stop, seconds.
+CLOSE_WAIT_S: typing.Final = 0.15
 
 
 class Gateway:
-    """One gateway process: its parts and its background tasks."""
+    """The parts and the background tasks of one gateway process."""
 
     def __init__(
         self,
@@ -138,7 +144,7 @@
             evidence_,
             self.quarantine,
         )
-        self.mesh.own_on_old_version = self._on_old
+        self.mesh.own_on_old_version = self._count_on_old_version
         self.store_clock = freshness.StoreClock()
         self.writer = rollout_writer.RolloutWriter(
             clock_,
@@ -185,7 +191,7 @@
             self.server.serve,
             clock_,
             lambda: self.leaving,
-            self._max_resting(),
+            self._max_idle_connections(),
         )
         self.ready_port = gateway_http.TextPort(
             gateway_http.parse_address(cfg.ready_listen),
@@ -198,16 +204,17 @@
             )
         self._tasks = [
             periodic.Periodic("rollouts", ROLLOUT_STEP_S, self._step_rollouts),
-            periodic.Periodic("housekeeping", HOUSEKEEPING_S, self._keep_house),
-            periodic.Periodic("clocks", CLOCKS_S, self._look_at_clocks),
+            periodic.Periodic("housekeeping", HOUSEKEEPING_S, self._run_housekeeping),
+            periodic.Periodic("clocks", CLOCK_CHECK_S, self._check_clocks),
         ]
-        self._gaps = clock.GapDetector(clock_, CLOCKS_MOST_S)
-        self._limits_of = -1
+        self._gap_detector = clock.GapDetector(clock_, MAX_CLOCK_CHECK_S)
+        # Number of the configuration whose limits are applied.
+        self._limits_number = -1
 
     # -- Start and stop --
 
     def start(self) -> None:
-        """Open the ports and begin to follow the store."""
+        """Open the ports and start to follow the store."""
         self.port.start()
         self.ready_port.start()
         if self.metrics_port is not None:
@@ -218,22 +225,26 @@
             task.start()
 
     def stop(self) -> None:
-        """Carry out a planned stop; no request in flight is cut before its time."""
+        """Carry out a planned stop; no open request is cut before the deadline."""
         now = self.clock.now()
         grace_s = self.cfg.bounds.grace_s
         self.leaving = True
         self.mesh.leaving = True
-        self.server.accept_all_until = now + min(TAKE_ALL_S, TAKE_ALL_SHARE * grace_s)
-        self.server.stop_deadline = now + END_AT * grace_s
+        self.server.accept_all_until = now + min(
+            ACCEPT_ALL_S, ACCEPT_ALL_SHARE * grace_s
+        )
+        self.server.stop_deadline = now + STOP_DEADLINE_SHARE * grace_s
         eventlog.info("leaving", open=self.server.open_calls, grace_s=grace_s)
-        # Callers come until the balancer has noticed, and longer on kept connections.
-        clock.sleep_until(now + min(LINGER_S, 0.5 * grace_s), self.clock)
+        # New callers come until the balancer sees the failed readiness check; those on
+        # keep-alive connections come for longer.
+        clock.sleep_until(now + min(BALANCER_DELAY_S, 0.5 * grace_s), self.clock)
         drained = self.server.wait_idle(self.server.stop_deadline)
-        # From here on every request is told to come back, so that none is under way
-        # when the process ends; callers on kept connections hear that it closes.
+        # From here on every request is refused with a retry time, so that none is open
+        # when the process ends.  The answers also tell callers on keep-alive
+        # connections that their connection closes.
         self.server.stop_deadline = self.server.accept_all_until = self.clock.now()
-        threading.Event().wait(CLOSING_S)
-        self.server.wait_idle(self.clock.now() + CLOSING_S)
+        threading.Event().wait(CLOSE_WAIT_S)
+        self.server.wait_idle(self.clock.now() + CLOSE_WAIT_S)
         eventlog.info("drained", whole=drained, open=self.server.open_calls)
         self.mesh.stop()
 
@@ -253,7 +264,7 @@
             stop.join()
 
     def reload(self, cfg: options.Options) -> None:
-        """Take what a changed settings file may change while we run."""
+        """Apply those settings that can change without a restart."""
         bounds = cfg.bounds
         self.cfg.bounds = bounds
         self.cfg.regions = cfg.regions
@@ -264,7 +275,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether all that a request needs is known."""
+        """Whether the configuration, endpoints and rollout outcomes have been read."""
         known = all(follower.version >= 0 for follower in self.followers)
         return known and self.orders.table is not None
 
@@ -278,31 +289,36 @@
         outcome_rows = gateway_rows.OutcomeRows(
             self.clock, self.dialect, self.rollouts, self.writer
         )
-        self._odd = [self.orders.invalid, endpoint_rows.invalid, outcome_rows.invalid]
-        gather_s = GATHER_SHARE * self.cfg.bounds.drain_s
+        self._invalid_rows = [
+            self.orders.invalid,
+            endpoint_rows.invalid,
+            outcome_rows.invalid,
+        ]
+        gather_s = GATHER_ENDPOINTS_SHARE * self.cfg.bounds.drain_s
         cfg = self.cfg
         return [
-            self._follower(
+            self._make_follower(
                 tables.orders, self.orders, GATHER_ORDERS_S, lambda: cfg.bounds.config_s
             ),
-            self._follower(
+            self._make_follower(
                 tables.endpoints, endpoint_rows, gather_s, lambda: cfg.bounds.drain_s
             ),
-            self._follower(
+            self._make_follower(
                 tables.outcomes, outcome_rows, 0.0, lambda: cfg.bounds.rollback_s
             ),
         ]
 
-    def _follower(
+    def _make_follower(
         self,
         table: str,
         sink: followers.Sink,
         gather_s: float,
         bound_s: typing.Callable[[], float],
     ) -> followers.Follower:
-        """Make one table's follower.
+        """Build the follower of a table.
 
-        :param bound_s: within which a change has to be in force, seconds.
+        :param gather_s: time for which changes are gathered, seconds.
+        :param bound_s: time within which a change has to be in force, seconds.
         """
         fresh = freshness.Freshness(
             self.clock, self.store_clock, bound_s, self.mesh.is_first_reader
@@ -374,7 +390,7 @@
         )
 
     def _services(self) -> dict[str, routes.Service]:
-        """Give the services of the configuration in force, by name."""
+        """Return the services of the configuration in force by name."""
         return self.orders.table.services if self.orders.table else {}
 
     def _max_calls(self) -> int:
@@ -382,13 +398,13 @@
             return self.cfg.max_calls
         return min(MAX_CALLS, int(CALLS_PER_MB * self.cfg.memory_mb))
 
-    def _max_resting(self) -> int:
-        """Give the callers' connections that may rest: what descriptors are left."""
+    def _max_idle_connections(self) -> int:
+        """Return how many idle caller connections the remaining descriptors allow."""
         calls = DESCRIPTORS_PER_CALL * self._max_calls()
-        return max(MIN_RESTING, self.cfg.max_fds - calls - OTHER_DESCRIPTORS)
+        return max(MIN_IDLE_CONNECTIONS, self.cfg.max_fds - calls - OTHER_DESCRIPTORS)
 
-    def _on_old(self, service: str) -> int:
-        """Give our requests on the old version of a service."""
+    def _count_on_old_version(self, service: str) -> int:
+        """Return the number of our requests that run on a service's old version."""
         for rollout in self.rollouts.all():
             if rollout.order.service == service:
                 return self.directory.running_on_other_versions(
@@ -406,17 +422,17 @@
         if not self.leaving:
             self.writer.step()
 
-    def _look_at_clocks(self) -> None:
-        """Tell how long this process did nothing.
+    def _check_clocks(self) -> None:
+        """Report how long this process did not run.
 
-        Nothing else has to be done: every age and deadline is by a clock that went on,
-        so what is too old counts as such at the first look after it.
+        Nothing else has to be done: all ages and deadlines use a clock that went on
+        meanwhile, so expired data counts as expired at the first check afterwards.
         """
-        for gap in self._gaps.look():
+        for gap in self._gap_detector.look():
             self.metrics.clock_gaps.labels(gap.kind).inc(gap.length_s)
             eventlog.warning("clock-gap", kind=gap.kind, length_s=gap.length_s)
 
-    def _keep_house(self) -> None:
+    def _run_housekeeping(self) -> None:
         if not self.port.is_accepting:
             eventlog.warning("not-accepting", open=self.server.open_calls)
         self.directory.forget_gone()
@@ -424,8 +440,8 @@
         self._sender.resolve_breaks()
         self.quarantine.forget_old()
         table = self.orders.table
-        if table is not None and table.number != self._limits_of:
-            self._limits_of = table.number
+        if table is not None and table.number != self._limits_number:
+            self._limits_number = table.number
             self.port.set_limits(table.limits.body_bytes, table.limits.idle_s)
             services = table.services.values()
             self.directory.set_memory({s.name: s.memory for s in services})
@@ -438,7 +454,7 @@
         table = self.orders.table
         self.metrics.config_number.set(table.number if table else 0)
         self.metrics.log_lines_dropped.set(eventlog.dropped_lines())
-        for invalid in self._odd:
+        for invalid in self._invalid_rows:
             self.metrics.invalid_rows.labels(invalid.table).set(invalid.count)
         self.metrics.store_epoch.set(self.epochs.newest)
         self.metrics.store_restores.set(self.epochs.restores)
@@ -452,7 +468,7 @@
         return 200, self.metrics.render()
 
     def _set_notice_metrics(self, notices: endpoint_notices.EndpointNotices) -> None:
-        """Count what endpoints say of themselves."""
+        """Set the gauges for what endpoints announce in their answers."""
         self.metrics.endpoints_limited.set(len(notices.pacer.limits.lives()))
         self.metrics.sends_paced.set(notices.pacer.paced)
         self.metrics.endpoints_leaving.set(len(notices.departures.lives()))
--- a/gaprock/gateway_program.py
+++ b/gaprock/gateway_program.py
@@ -1,7 +1,7 @@
-"""The program of a gateway, an entry that sends to endpoints itself.
+"""Command line, settings and signals of a gateway.
 
-Here are its command line, settings and signals.  What a gateway consists of
-and how it stops is in ``gateway_node``.
+A gateway is an entry that sends to endpoints itself.  ``gateway_node`` has its parts
+and its planned stop.
 """
 
 import argparse
@@ -31,17 +31,17 @@
 EXIT_DONE: typing.Final = 0
 EXIT_SETTINGS: typing.Final = 2
 SETTINGS_VARIABLE: typing.Final = "GAPROCK_SETTINGS"
-# A thread's stack, bytes; the deepest path takes a fraction of it.
+# Stack size of each thread, bytes; the deepest call chain needs a fraction of it.
 STACK_BYTES: typing.Final = 256 * 1024
 
 
 def load_options(path: str) -> options.Options:
     """Read a settings file.
 
-    :raises errors.GaprockError: when it is not valid.
+    :raises errors.GaprockError: when the file is not valid.
     """
-    # The only module that knows the file's form; a connector of another platform
-    # would bring its own.
+    # This module alone knows the file's format; an adapter to another platform would
+    # bring its own.
     from gaprock.platform import settings
 
     cfg = options.Options()
@@ -50,8 +50,8 @@
     return cfg
 
 
-def run(cfg: options.Options, taken: signals.Signals) -> None:
-    """Run a gateway until SIGTERM or SIGINT; SIGHUP reads the settings again."""
+def run(cfg: options.Options, received: signals.Signals) -> None:
+    """Run a gateway until SIGTERM or SIGINT; SIGHUP reloads the settings."""
     eventlog.start(cfg.vm, cfg.verbose, bounded=True)
     threading.stack_size(STACK_BYTES)
     plugin.load_all(plugin.GATEWAY_MODULES)
@@ -65,10 +65,11 @@
     if not clock.COUNTS_SUSPENSION:
         eventlog.warning("clock-stands-while-suspended")
     gateway.start()
-    # What the start made lives as long as the process; the collector need not look.
+    # Objects made at the start live as long as the process, so the collector need not
+    # examine them.
     gc.freeze()
     eventlog.info("started", hall=cfg.hall, listen=cfg.listen)
-    while taken.wait() == signal.SIGHUP:
+    while received.wait() == signal.SIGHUP:
         _reload(gateway, cfg.settings)
     gateway.stop()
     eventlog.info("stopped")
@@ -78,12 +79,12 @@
     try:
         gateway.reload(load_options(path))
     except errors.GaprockError as exc:
-        # What was in force stays in force.
+        # The settings in force stay in force.
         eventlog.warning("reload-refused", error=exc)
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; give its exit code."""
+    """Run the program and return its exit code."""
     parser = argparse.ArgumentParser("gaprock-gateway", description=DESCRIPTION)
     parser.add_argument(
         "--settings",
@@ -97,15 +98,15 @@
         help="mechanisms to switch off, to measure what they are worth",
     )
     args = parser.parse_args(argv)
-    # Before the settings are read, so that no change of them is missed.
-    taken = signals.Signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    # Signals are handled before the settings are read, so that no change is missed.
+    received = signals.Signals(signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     try:
         cfg = load_options(args.settings)
         mechanisms.switch_off(filter(None, args.without.split(",")))
     except errors.GaprockError as exc:
         print(f"gaprock-gateway: {exc}", file=sys.stderr)
         return EXIT_SETTINGS
-    run(cfg, taken)
-    # Threads of callers that are cut off do not hold up the end.
+    run(cfg, received)
+    # Exit without waiting for threads whose callers are cut off.
     sys.stdout.flush()
     os._exit(EXIT_DONE)
--- a/gaprock/platform/__init__.py
+++ b/gaprock/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: settings file, store, documents and headers.
+"""Adapter to the users' platform: its settings file, store, documents and headers.
 
-Everything here translates between the platform's wire and ``gateway_api``; nothing here
-decides.  The platform's names stand in this folder only.
+The modules translate between the platform's wire format and ``gateway_api`` and make no
+decisions.  The platform's names are used in this package only.
 """
--- a/gaprock/platform/documents.py
+++ b/gaprock/platform/documents.py
@@ -1,6 +1,6 @@
 """Decodes the platform's documents into the gateway's types.
 
-The structs name the fields as the platform spells them; unknown fields are ignored.
+The structs use the platform's field names; unknown fields are ignored.
 """
 
 import socket
@@ -13,7 +13,7 @@
 
 CONFIG_KEY: typing.Final = "config"
 ROLLOUT_PREFIX: typing.Final = "rollout/"
-# An order that a hall gets nothing more, until its row goes.
+# Key prefix of the orders that cordon a hall for as long as their row exists.
 EVACUATION_PREFIX: typing.Final = "evacuate/"
 KINDS: typing.Final = {
     "safe": routes.RouteKind.SAFE,
@@ -21,21 +21,21 @@
     "streaming": routes.RouteKind.STREAM,
 }
 DRAINING: typing.Final = "draining"
-# More slots or a later start than these are nobody's, milliseconds for the start: our
-# time of day and theirs differ by seconds.
+# No endpoint has more slots than this, or a start that is further in the future than
+# these milliseconds: our time of day and theirs differ by seconds.
 MAX_SLOTS: typing.Final = 1_000_000
-MAX_AHEAD_MS: typing.Final = 24 * 3600 * 1000
+MAX_BORN_AHEAD_MS: typing.Final = 24 * 3600 * 1000
 MAX_PORT: typing.Final = 65_535
-DOTS: typing.Final = 3
-# A rollout's time, seconds.
+DOTS_IN_IPV4: typing.Final = 3
+# Longest time that an operator may set for a rollout, seconds.
 MAX_FINISH_S: typing.Final = 7 * 24 * 3600
-# Nobody warms up for longer than this, milliseconds.
+# No endpoint warms up for longer than this, milliseconds.
 MAX_COLD_MS: typing.Final = 3600 * 1000
-Text = typing.Annotated[str, msgspec.Meta(min_length=1)]
+NonEmptyText = typing.Annotated[str, msgspec.Meta(min_length=1)]
 
 
 class BackendDoc(msgspec.Struct, frozen=True):
-    """A service of a split route."""
+    """A service that gets a weighted share of a route's requests."""
 
     Service: str
     Weight: int
@@ -55,7 +55,7 @@
     Backends: list[BackendDoc] = []
     Attempts: int = 1
     Public: bool = False
-    # The models to choose from, the smallest first, despite the name.
+    # Names of the models to choose from, the smallest first; not their sizes.
     Sizes: list[str] = []
     CanResume: bool = False
     GapTargetMs: float = 1000.0
@@ -75,7 +75,8 @@
 class ServiceDoc(msgspec.Struct, frozen=True):
     Name: str
     Engine: EngineDoc | None = None
-    # Seconds that an endpoint is not warm after its start, and what it bears then.
+    # How long an endpoint warms up after its start, seconds, and how many requests a
+    # second it can take meanwhile.
     WarmupS: float = 0.0
     ColdPerS: float = 0.0
 
@@ -103,28 +104,29 @@
 
 
 class ServerDoc(msgspec.Struct, frozen=True):
-    """An endpoint; ``Version`` is that of its software.
+    """An endpoint; ``Version`` is the version of its software.
 
-    Endpoints write all of this, but for ``born`` and ``ColdMs``, which not all of them
-    have.  Whatever lacks a field or has another type was written by somebody else.
+    Every endpoint writes all fields except ``born`` and ``ColdMs``, which only some
+    endpoints have.  A row that lacks another field, or has a field of another type, was
+    not written by an endpoint.
     """
 
-    Service: Text
+    Service: NonEmptyText
     Addr: str
     Zone: str
     Version: str
     Slots: typing.Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     State: typing.Literal["ready", "draining"]
     born: typing.Annotated[int, msgspec.Meta(ge=1)] = 0
-    # How much longer it is not warm.
+    # Remaining time of the warm-up, milliseconds.
     ColdMs: typing.Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)] = 0.0
 
 
 class RolloutDoc(msgspec.Struct, frozen=True):
-    """An operator's order; ``FinishByS`` counts from the order."""
+    """An operator's rollout order; ``FinishByS`` counts from the time of the order."""
 
-    Service: Text
-    ToVersion: Text
+    Service: NonEmptyText
+    ToVersion: NonEmptyText
     FinishByS: typing.Annotated[float, msgspec.Meta(gt=0, le=MAX_FINISH_S)]
 
 
@@ -134,7 +136,7 @@
 
 
 def route_table(value: bytes) -> routes.RouteTable:
-    """Decode a whole configuration."""
+    """Decode a routing configuration."""
     doc = invalid_rows.decode(ConfigDoc, value)
     return routes.RouteTable(
         doc.Version,
@@ -149,7 +151,7 @@
     """Decode an endpoint's row."""
     doc = invalid_rows.decode(ServerDoc, value)
     host, port = _address(doc.Addr)
-    if doc.born and doc.born > time.time() * 1000 + MAX_AHEAD_MS:
+    if doc.born and doc.born > time.time() * 1000 + MAX_BORN_AHEAD_MS:
         raise gateway_api.InvalidDocument(f"born is in the future: {doc.born}")
     return gateway_api.EndpointRow(
         doc.Service,
@@ -165,15 +167,19 @@
 
 
 def _address(text: str) -> tuple[str, int]:
-    """Read an IP number and a port."""
+    """Parse ``IP:PORT`` with an IPv4 address in four parts."""
     host, _, port = text.rpartition(":")
     try:
         socket.inet_aton(host)
         number = int(port)
     except (OSError, ValueError) as exc:
         raise gateway_api.InvalidDocument(f"Addr is not IP:PORT: {text!r}") from exc
-    # Both take shorter forms as well.
-    if host.count(".") != DOTS or not port.isdigit() or not 0 < number <= MAX_PORT:
+    # ``inet_aton`` also accepts fewer parts, and ``int`` more than digits.
+    if (
+        host.count(".") != DOTS_IN_IPV4
+        or not port.isdigit()
+        or not 0 < number <= MAX_PORT
+    ):
         raise gateway_api.InvalidDocument(f"Addr is not IP:PORT: {text!r}")
     return host, number
 
--- a/gaprock/platform/settings.py
+++ b/gaprock/platform/settings.py
@@ -1,6 +1,6 @@
 """Reads the settings file that the platform writes, into ``Options``.
 
-Fields that we do not know are ignored; a missing or wrong one is named in the error.
+Unknown fields are ignored; the error names a missing or invalid one.
 """
 
 import tomllib
@@ -21,7 +21,7 @@
 
 
 class BoundsDoc(msgspec.Struct, frozen=True):
-    """What the site promises; times in milliseconds or, with ``S``, in seconds."""
+    """What the site promises; times are in ms, or in seconds if the name ends in S."""
 
     ConfigMs: float = 2000
     DrainMs: float = 2000
@@ -29,11 +29,11 @@
     GraceS: float = 8
     BudgetRatio: float = 0.5
     BudgetWindowS: float = 10
-    # Repeats that are allowed beyond the ratio, in a window.
+    # Repeated sends that are allowed in a window on top of the ratio.
     RetrySlack: float = 10
     CanaryShare: float = 0.1
-    # What all gateways may send a cold endpoint within a second: its pace times the
-    # first, and the second besides.
+    # Within a second, all gateways together may send a cold endpoint ``ColdExcess``
+    # times the requests that it can take in a second, plus ``ColdSlack``.
     ColdExcess: float = 1.5
     ColdSlack: float = 5
     EvacMs: float = 5000
@@ -52,9 +52,9 @@
     Zone: str
     Listen: ListenDoc
     Provider: ProviderDoc
-    # Whether this is the very first start of the whole system.
+    # Whether this is the first start of the whole system.
     Bootstrap: bool = False
-    # First and last port for what our processes say to each other.
+    # First and last port for the traffic between our processes.
     PortRange: list[int] = []
     # The region of each hall.
     Zones: dict[str, str] = {}
--- a/gaprock/platform/store.py
+++ b/gaprock/platform/store.py
@@ -14,29 +14,30 @@
 
 from gaprock import eventlog, gateway_api, plugin, retry_after
 
-# Longest wait for a connection and for an ordinary answer, seconds; the store's usual
-# answer takes 4 ms.
+# Longest wait for a connection and for an ordinary answer, seconds; the store usually
+# answers in 4 ms.
 CONNECT_WAIT_S: typing.Final = 1.0
 ANSWER_WAIT_S: typing.Final = 2.0
-# Longest wait for changes that are not waited for at the store, seconds.  What an
-# outage swallowed is asked again within a second of its end; a store that is 100 times
-# slower than usual still answers in 0.4 s.
+# Longest wait for the answer to a read of changes that is no long poll, seconds.  A
+# read lost in an outage is thus repeated within a second of the outage's end, while a
+# store that is 100 times slower than usual still answers in time, in 0.4 s.
 CHANGES_WAIT_S: typing.Final = 1.0
-# A long poll says nothing for long, so the connection itself has to show that the store
-# is still there: probes after a second, given up after these milliseconds.
-SILENT_MS: typing.Final = 2000
+# A long poll may get no data for a long time, so its connection has to show whether
+# the store can be reached: TCP sends keep-alive probes after a second of silence, and
+# the connection is given up after this many milliseconds.
+DEAD_CONNECTION_MS: typing.Final = 2000
 SOCKET_OPTIONS: typing.Final[list[tuple[int, int, int | bytes]]] = [
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENT_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_CONNECTION_MS),
 ]
-MAX_WAIT_MS: typing.Final = 30_000
+MAX_POLL_WAIT_MS: typing.Final = 30_000
 RETRY_STATUSES: typing.Final = (429, 503)
-# A longer time to wait is cut to so many seconds: rows would be older than anything
-# that is promised of them.
+# A longer Retry-After is cut to this many seconds, as rows would otherwise become older
+# than every bound that is promised for them.
 LONGEST_RETRY_S: typing.Final = 10.0
 CALL_ERRORS: typing.Final = (
     urllib3.exceptions.HTTPError,
@@ -44,32 +45,32 @@
     OSError,
 )
 EPOCH_HEADER: typing.Final = "Store-Era"
-# Longest text of an epoch, characters, and the largest rise between two answers: one
-# that is too large would have every later answer taken for an earlier one.
-LONGEST_EPOCH: typing.Final = 15
-LARGEST_RISE: typing.Final = 1000
-# Idle connections that are kept for the next polls; a table needs one.
-IDLE_POLLS: typing.Final = 4
+# Longest text of an epoch, characters, and the largest rise between two answers: after
+# an epoch that is too large, every later answer would count as one of an older epoch.
+MAX_EPOCH_CHARS: typing.Final = 15
+MAX_EPOCH_RISE: typing.Final = 1000
+# Idle connections that are kept for the next long polls; each table needs one.
+MAX_IDLE_CONNECTIONS: typing.Final = 4
 
 
 class EpochReader:
-    """Reads the epoch in the store's answers; safe for all threads."""
+    """Reads the epoch in the store's answers; thread-safe."""
 
-    __slots__ = ("listeners", "_newest", "_odd")
+    __slots__ = ("listeners", "_newest", "_last_invalid")
 
     def __init__(self) -> None:
         self.listeners: list[typing.Callable[[int], None]] = []
-        # ``None`` before an answer named one.
+        # ``None`` until an answer has named an epoch.
         self._newest: int | None = None
-        # What stood last in the epoch's place and was of no use.
-        self._odd: list[str] = []
+        # The last invalid values of the epoch's header, to log them only once.
+        self._last_invalid: list[str] = []
 
     def read(self, answer: urllib3.BaseHTTPResponse) -> int:
-        """Give an answer's epoch; the newest one known where it names none."""
+        """Return an answer's epoch; the newest known one if that is no valid one."""
         texts = answer.headers.getlist(EPOCH_HEADER)
         epoch, newest = _epoch(texts), self._newest
-        if epoch is None or newest is not None and epoch > newest + LARGEST_RISE:
-            self._note_odd(texts or ["none"])
+        if epoch is None or newest is not None and epoch > newest + MAX_EPOCH_RISE:
+            self._log_invalid(texts or ["none"])
             return newest or 0
         if newest is not None and epoch < newest:
             eventlog.warning("store-epoch-lower", epoch=epoch, newest=newest)
@@ -79,37 +80,37 @@
             listener(epoch)
         return epoch
 
-    def _note_odd(self, texts: list[str]) -> None:
-        """Log what is no epoch, once until it is another text."""
-        if texts != self._odd:
-            self._odd = texts
+    def _log_invalid(self, texts: list[str]) -> None:
+        """Log the header's invalid values, unless they equal the last ones."""
+        if texts != self._last_invalid:
+            self._last_invalid = texts
             eventlog.warning("store-epoch-odd", value=",".join(texts))
 
 
 def _epoch(texts: list[str]) -> int | None:
-    """Decode the values of the epoch's header; ``None`` where they name no epoch."""
-    if len(texts) != 1 or len(texts[0]) > LONGEST_EPOCH:
+    """Decode the values of the epoch's header; ``None`` if they are invalid."""
+    if len(texts) != 1 or len(texts[0]) > MAX_EPOCH_CHARS:
         return None
     text = texts[0].strip()
     return int(text) if text.isascii() and text.isdigit() else None
 
 
 class PlatformLongPoll(gateway_api.LongPoll):
-    """A call to the feed on a connection of its own.
+    """A long poll of the change feed on its own connection.
 
-    :param keep: takes the connection when the answer was read whole.
+    :param release: gets the connection back when the whole answer has been read.
     """
 
-    __slots__ = ("_conn", "_keep", "_epochs")
+    __slots__ = ("_conn", "_release", "_epochs")
 
     def __init__(
         self,
         conn: urllib3.connection.HTTPConnection,
-        keep: typing.Callable[[urllib3.connection.HTTPConnection], None],
+        release: typing.Callable[[urllib3.connection.HTTPConnection], None],
         epochs: EpochReader,
     ) -> None:
         self._conn: urllib3.connection.HTTPConnection | None = conn
-        self._keep = keep
+        self._release = release
         self._epochs = epochs
 
     def wait(self, wait_s: float) -> bool:
@@ -125,7 +126,7 @@
             raise gateway_api.StoreError(type(exc).__name__) from exc
         epoch = self._epochs.read(answer)
         page = _page(_checked(answer), epoch)
-        self._keep(self._conn)
+        self._release(self._conn)
         self._conn = None
         return page
 
@@ -137,7 +138,7 @@
 
 @plugin.register(gateway_api.SharedStore, "platform")
 class PlatformStore(gateway_api.SharedStore):
-    """Rows over HTTP; each call uses a connection that is dropped when it fails.
+    """The rows of the store over HTTP; a connection is closed when a call on it fails.
 
     :param address: ``IP:PORT`` of the store.
     """
@@ -167,15 +168,17 @@
         first, epoch = self._get("/-/rows-get", query, ANSWER_WAIT_S)
         body, rows = first, _rows(first)
         while body.get("HasMore"):
-            # The next page begins at the smallest key after the last one.
+            # The next page begins with the smallest key after the last one.
             query["From"] = rows[-1].key + "\0"
             body, later = self._get("/-/rows-get", query, ANSWER_WAIT_S)
             if later != epoch:
-                raise gateway_api.StoreError("restored while it was read")
+                raise gateway_api.StoreError(
+                    "store was restored while a table was read"
+                )
             rows += _rows(body)
-        # A later page may be newer; a change of an earlier one in between is told by
-        # the feed only from the first page's version on.
-        return gateway_api.Page(rows, _number(first, "Ver"), _now(first), epoch)
+        # Later pages may be newer than the first.  Only a feed that starts at the first
+        # page's version reports changes made to earlier pages in the meantime.
+        return gateway_api.Page(rows, _number(first, "Ver"), _store_now(first), epoch)
 
     def changes(self, table: str, since: int) -> gateway_api.Page:
         return _page(*self._get(*_feed(table, since, 0.0), CHANGES_WAIT_S))
@@ -189,10 +192,10 @@
         except CALL_ERRORS as exc:
             conn.close()
             raise gateway_api.StoreError(type(exc).__name__) from exc
-        return PlatformLongPoll(conn, self._keep, self._epochs)
+        return PlatformLongPoll(conn, self._release, self._epochs)
 
     def _poll_connection(self) -> urllib3.connection.HTTPConnection:
-        """Give a connection for a poll, an idle one if it is still open."""
+        """Return a connection for a long poll: an idle one if it is still open."""
         with self._lock:
             conn = self._idle.pop() if self._idle else None
         if conn is not None and conn.is_connected:
@@ -204,9 +207,9 @@
             host, port, socket_options=SOCKET_OPTIONS
         )
 
-    def _keep(self, conn: urllib3.connection.HTTPConnection) -> None:
+    def _release(self, conn: urllib3.connection.HTTPConnection) -> None:
         with self._lock:
-            if len(self._idle) < IDLE_POLLS:
+            if len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(conn)
                 return
         conn.close()
@@ -237,7 +240,7 @@
     def _get(
         self, path: str, query: dict[str, str], wait_s: float
     ) -> tuple[dict[str, typing.Any], int]:
-        """Give an answer's document and epoch."""
+        """Return an answer's document and epoch."""
         target = f"{path}?{urllib.parse.urlencode(query)}"
         answer = self._call("GET", target, wait_s)
         epoch = self._epochs.read(answer)
@@ -248,12 +251,12 @@
     ) -> urllib3.BaseHTTPResponse:
         """Make one call.
 
-        :raises gateway_api.StoreError: without an answer.
+        :raises gateway_api.StoreError: when there is no answer.
         """
         headers = {"Content-Type": "application/json"} if body else {}
         try:
-            # An answer that did not come leaves its connection mute: urllib3 closes
-            # a connection whose request failed and opens another for the next one.
+            # A connection on which no answer came may stay silent: urllib3 closes a
+            # connection whose request failed and opens another for the next request.
             return self._pool.urlopen(
                 method,
                 target,
@@ -267,22 +270,23 @@
 
 
 def _feed(table: str, since: int, wait_s: float) -> tuple[str, dict[str, str]]:
-    """Give the path and query that ask for a table's changes."""
-    wait_ms = min(MAX_WAIT_MS, int(wait_s * 1000))
+    """Return the path and the query of a request for a table's changes."""
+    wait_ms = min(MAX_POLL_WAIT_MS, int(wait_s * 1000))
     query = {"Table": table, "SinceRev": str(since), "WaitMs": str(wait_ms)}
     return "/-/rows-feed", query
 
 
 def _checked(answer: urllib3.BaseHTTPResponse) -> dict[str, typing.Any]:
-    """Decode an answer.
+    """Return the JSON object of a successful answer.
 
-    :raises gateway_api.HistoryGone: when the changes are no longer known.
-    :raises gateway_api.StoreError: when it is no success, or told to wait.
+    :raises gateway_api.HistoryGone: when the store no longer has the changes.
+    :raises gateway_api.StoreError: when the answer is a failure, which may name a time
+        to wait, or has no JSON object.
     """
     if answer.status == 410:
         raise gateway_api.HistoryGone
     if answer.status in RETRY_STATUSES:
-        # None leaves the pause to the caller.
+        # 0 leaves the pause to the caller.
         wait, date = (answer.headers.get(n, "") for n in ("Retry-After", "Date"))
         retry_after_s = min(LONGEST_RETRY_S, retry_after.seconds(wait, date) or 0.0)
         raise gateway_api.StoreError(f"status {answer.status}", retry_after_s)
@@ -291,35 +295,35 @@
     try:
         body = json.loads(answer.data)
     except ValueError as exc:
-        raise gateway_api.StoreError("no JSON") from exc
+        raise gateway_api.StoreError("answer is not JSON") from exc
     if not isinstance(body, dict):
-        raise gateway_api.StoreError("no JSON object")
+        raise gateway_api.StoreError("answer is not a JSON object")
     return body
 
 
 def _page(body: dict[str, typing.Any], epoch: int) -> gateway_api.Page:
     """Decode a page of rows.
 
-    :raises gateway_api.StoreError: when it is none.
+    :raises gateway_api.StoreError: when the document is not a page of rows.
     """
-    return gateway_api.Page(_rows(body), _number(body, "Ver"), _now(body), epoch)
+    return gateway_api.Page(_rows(body), _number(body, "Ver"), _store_now(body), epoch)
 
 
 def _rows(body: dict[str, typing.Any]) -> list[gateway_api.Row]:
     try:
         return [_row(item) for item in body.get("Rows", ())]
     except (KeyError, TypeError, ValueError) as exc:
-        raise gateway_api.StoreError(f"no rows: {exc!r}") from exc
+        raise gateway_api.StoreError(f"invalid rows: {exc!r}") from exc
 
 
-def _now(body: dict[str, typing.Any]) -> float:
+def _store_now(body: dict[str, typing.Any]) -> float:
     return _number(body, "NowMs") / 1000
 
 
 def _number(body: dict[str, typing.Any], name: str) -> int:
     number = body.get(name)
     if not isinstance(number, int | float):
-        raise gateway_api.StoreError(f"no {name}")
+        raise gateway_api.StoreError(f"no number in {name}")
     return int(number)
 
 
--- a/gaprock/platform/wire.py
+++ b/gaprock/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's header and table names, decoded once into the gateway's types."""
+"""Translates between the platform's headers and tables and the gateway's types."""
 
 import typing
 
@@ -7,7 +7,7 @@
 from gaprock import gateway_api, invalid_rows, plugin, routes
 from gaprock.platform import documents, notices
 
-# Headers that concern one connection only.
+# Headers that concern one connection only and are not forwarded.
 CONNECTION_HEADERS: typing.Final = frozenset(
     (
         b"connection",
@@ -23,7 +23,7 @@
         b"expect",
     )
 )
-# Headers that only the system may set, or that must not go on.
+# Headers that only the system may set, or that must not be forwarded.
 SYSTEM_HEADERS: typing.Final = frozenset(
     (
         b"authorization",
@@ -40,8 +40,8 @@
         b"last-event-id",
     )
 )
-# Headers of answers that are meant for the system.
-INNER_ANSWER_HEADERS: typing.Final = frozenset(
+# Headers of answers that are meant for the system and not for callers.
+INTERNAL_ANSWER_HEADERS: typing.Final = frozenset(
     (b"x-not-run", b"x-instance-id", b"x-server-load")
 )
 WRONG_ENDPOINT: typing.Final = 421
@@ -49,12 +49,12 @@
 BEARER: typing.Final = b"bearer "
 MAX_URGENCY: typing.Final = 9
 
-Lowered = dict[bytes, bytes]
+HeadersByName = dict[bytes, bytes]
 
 
 @plugin.register(gateway_api.Dialect, "platform")
 class PlatformDialect(gateway_api.Dialect):
-    """The platform's wire."""
+    """The platform's wire format."""
 
     __slots__ = ()
 
@@ -62,17 +62,17 @@
     ready_path = "/-/readiness"
 
     def read_request(self, headers: gateway_api.Headers) -> gateway_api.RequestInfo:
-        by_name = _lowered(headers)
-        tokens_in, tokens_out = _counts(by_name.get(b"x-token-counts", b""))
+        by_name = _by_lower_name(headers)
+        tokens_in, tokens_out = _token_counts(by_name.get(b"x-token-counts", b""))
         return gateway_api.RequestInfo(
             by_name.get(b"x-request-id", b"").decode("latin-1"),
             _host(by_name.get(b"host", b"")),
-            _key(by_name.get(b"authorization", b"")),
-            _wait(by_name.get(b"x-deadline-ms")),
+            _api_key(by_name.get(b"authorization", b"")),
+            _wait_s(by_name.get(b"x-deadline-ms")),
             by_name.get(b"x-model", b"").strip() == ANY_MODEL,
             tokens_in,
             tokens_out,
-            _parts(by_name.get(b"x-prompt-prefix", b"")),
+            _prompt_parts(by_name.get(b"x-prompt-prefix", b"")),
             by_name.get(b"session", b"").decode("latin-1"),
             _number(by_name.get(b"last-event-id", b"")),
         )
@@ -99,16 +99,16 @@
     def read_answer(
         self, status: int, headers: gateway_api.Headers
     ) -> gateway_api.AnswerHead:
-        by_name = _lowered(headers)
-        dropped = CONNECTION_HEADERS | INNER_ANSWER_HEADERS
+        by_name = _by_lower_name(headers)
+        dropped = CONNECTION_HEADERS | INTERNAL_ANSWER_HEADERS
         dropped |= _named_by_connection(headers)
-        wrong = status == WRONG_ENDPOINT
+        is_wrong_endpoint = status == WRONG_ENDPOINT
         return gateway_api.AnswerHead(
             status,
             [(n, v) for n, v in headers if n.lower() not in dropped],
             b"x-server-stamp" in by_name,
-            wrong or b"x-not-run" in by_name,
-            wrong,
+            is_wrong_endpoint or b"x-not-run" in by_name,
+            is_wrong_endpoint,
             by_name.get(b"x-request-id", b"").decode("latin-1"),
             _float(by_name.get(b"x-confidence")),
             by_name.get(b"content-encoding", b"identity").lower() != b"identity",
@@ -151,13 +151,13 @@
         return msgspec.json.encode(documents.OutcomeDoc(to_version, state))
 
 
-def _lowered(headers: gateway_api.Headers) -> Lowered:
+def _by_lower_name(headers: gateway_api.Headers) -> HeadersByName:
     return {name.lower(): value for name, value in headers}
 
 
 def _named_by_connection(headers: gateway_api.Headers) -> frozenset[bytes]:
-    """Give the headers that ``Connection`` says are for one connection only."""
-    named = _lowered(headers).get(b"connection", b"")
+    """Return the names that ``Connection`` lists as headers of one connection only."""
+    named = _by_lower_name(headers).get(b"connection", b"")
     return frozenset(item.strip().lower() for item in named.split(b","))
 
 
@@ -165,7 +165,7 @@
     return value.decode("latin-1").partition(":")[0].strip()
 
 
-def _key(value: bytes) -> str:
+def _api_key(value: bytes) -> str:
     if value[: len(BEARER)].lower() != BEARER:
         return ""
     return value[len(BEARER) :].strip().decode("latin-1")
@@ -180,7 +180,7 @@
         return None
 
 
-def _wait(value: bytes | None) -> float | None:
+def _wait_s(value: bytes | None) -> float | None:
     number = _float(value)
     if value is not None and number is None:
         raise gateway_api.InvalidDocument("X-Deadline-Ms is not a number")
@@ -192,16 +192,16 @@
     return int(text) if text.isdigit() else None
 
 
-def _counts(value: bytes) -> tuple[int, int]:
-    """Read the tokens of the prompt, and the most to go out."""
+def _token_counts(value: bytes) -> tuple[int, int]:
+    """Parse the prompt's token count and the output's maximum; 0 and 0 if malformed."""
     fields = [_number(item) for item in value.split(b",")]
     if len(fields) != 2 or fields[0] is None or fields[1] is None:
         return 0, 0
     return fields[0], fields[1]
 
 
-def _parts(value: bytes) -> list[tuple[str, int]]:
-    """Read ``ID:TOKENS,ID:TOKENS``; what is not well formed is left out."""
+def _prompt_parts(value: bytes) -> list[tuple[str, int]]:
+    """Parse ``ID:TOKENS,ID:TOKENS``; malformed items are left out."""
     found = []
     for item in value.split(b","):
         name, _, tokens = item.strip().partition(b":")
--- a/gaprock/test/fakes/cutproxy.py
+++ b/gaprock/test/fakes/cutproxy.py
@@ -9,8 +9,8 @@
 CHUNK: typing.Final = 64 * 1024
 TO_TARGET: typing.Final = "to-target"
 TO_CALLER: typing.Final = "to-caller"
-# Pause between two looks at a direction that is held back, seconds.
-HELD_LOOK_S: typing.Final = 0.02
+# Time between two checks whether a direction is still held back, seconds.
+HELD_CHECK_S: typing.Final = 0.02
 
 
 class CutProxy:
@@ -22,41 +22,41 @@
         self.port = int(self._listener.getsockname()[1])
         self.address = f"tcp://127.0.0.1:{self.port}"
         self._pairs: list[tuple[socket.socket, socket.socket]] = []
-        # Cleared while the relay is silent: it takes bytes and passes none on.
+        # Cleared while the relay is silent: it accepts data and passes none on.
         self.data_flows = threading.Event()
         self.data_flows.set()
-        # Directions whose bytes are held back, and the delay of all others, seconds.
+        # Directions whose data is held back, and the delay of all data, seconds.
         self.held: set[str] = set()
         self.delay_s = 0.0
-        # Connections that go on without passing anything; new ones are not among them.
-        self._mute: set[socket.socket] = set()
+        # Connections that stay open and pass nothing on; new ones are not among them.
+        self._silenced: set[socket.socket] = set()
         threading.Thread(target=self._accept, daemon=True).start()
 
     def cut(self) -> None:
-        """Close all connections; new ones are taken."""
+        """Close all connections; new ones are accepted."""
         pairs, self._pairs = self._pairs, []
         for pair in pairs:
             for sock in pair:
                 _close(sock)
 
     def reset(self) -> None:
-        """Reset all connections; new ones are taken."""
+        """Reset all connections; new ones are accepted."""
         for pair in self._pairs:
             for sock in pair:
                 try:
                     no_linger = struct.pack("ii", 1, 0)
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_linger)
                 except OSError:
-                    # It is closed already.
+                    # The socket is closed already.
                     continue
         self.cut()
 
     def silence_connections(self) -> None:
-        """Let the open connections go silent for good; new ones work."""
-        self._mute.update(sock for pair in self._pairs for sock in pair)
+        """Make the open connections silent for good; new ones work."""
+        self._silenced.update(sock for pair in self._pairs for sock in pair)
 
     def heal(self) -> None:
-        """Let everything through again; what was silent is reset, as after a cut."""
+        """Let all data pass again; if it did not, reset connections, as after a cut."""
         was_silent = bool(self.held) or not self.data_flows.is_set()
         self.held.clear()
         self.delay_s = 0.0
@@ -65,7 +65,7 @@
             self.reset()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the port and all connections."""
         _close(self._listener)
         self.data_flows.set()
         self.cut()
@@ -87,10 +87,10 @@
         try:
             while data := source.recv(CHUNK):
                 self.data_flows.wait()
-                if source in self._mute:
+                if source in self._silenced:
                     continue
                 while direction in self.held:
-                    time.sleep(HELD_LOOK_S)
+                    time.sleep(HELD_CHECK_S)
                 time.sleep(self.delay_s)
                 target.sendall(data)
         except OSError:
--- a/gaprock/test/fakes/httpfake.py
+++ b/gaprock/test/fakes/httpfake.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for stand-ins: a handler for each request, in threads."""
+"""A small HTTP server for stand-ins; each connection has a thread."""
 
 import argparse
 import http.server
@@ -10,7 +10,7 @@
 
 
 class Reply:
-    """A plain answer; ``drop`` closes the connection instead of answering."""
+    """A complete answer; ``drop`` closes the connection instead of answering."""
 
     __slots__ = ("status", "data", "headers", "drop")
 
@@ -28,12 +28,12 @@
 
 
 def json_reply(value: object, status: int = 200) -> Reply:
-    """Answer with JSON."""
+    """Build an answer with a JSON body."""
     return Reply(status, json.dumps(value).encode())
 
 
 class Exchange(http.server.BaseHTTPRequestHandler):
-    """One connection; the fake sees it as method, path, body, and a writer."""
+    """One connection; passes itself and each request's parts to the stand-in."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -47,7 +47,7 @@
         self.fake.connections.discard(self.connection)
         super().finish()
 
-    def _any(self) -> None:
+    def _serve(self) -> None:
         length = int(self.headers.get("Content-Length") or 0)
         body = self.rfile.read(length)
         try:
@@ -57,7 +57,7 @@
         except OSError:
             self.close_connection = True
 
-    do_GET = do_POST = do_PUT = do_DELETE = _any
+    do_GET = do_POST = do_PUT = do_DELETE = _serve
 
     def _send(self, reply: Reply) -> None:
         if reply.drop:
@@ -71,7 +71,7 @@
         self.wfile.write(reply.data)
 
     def start_stream(self, headers: dict[str, str]) -> None:
-        """Open an event stream that ends with the connection."""
+        """Start an event stream that ends with the connection."""
         self.send_response(200)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Connection", "close")
@@ -86,7 +86,7 @@
         self.connection.shutdown(socket.SHUT_RDWR)
 
     def log_message(self, format: str, *args: object) -> None:
-        """Stay silent."""
+        """Log nothing."""
 
 
 class Server(http.server.ThreadingHTTPServer):
@@ -96,11 +96,11 @@
     request_queue_size = 1024
 
     def handle_error(self, request: object, client_address: object) -> None:
-        """A cut connection is no news here."""
+        """Ignore errors, since tests cut connections on purpose."""
 
 
 class Fake:
-    """The base of the stand-ins: a server on a free port."""
+    """Base class of the stand-ins: a server on loopback, usually on a free port."""
 
     def __init__(self, port: int = 0) -> None:
         handler = type("Handler", (Exchange,), {"fake": self})
@@ -116,7 +116,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop listening and cut what is open, as the end of a process does."""
+        """Stop listening and cut open connections, as the end of a process does."""
         self._server.shutdown()
         self._server.server_close()
         for sock in list(self.connections):
@@ -128,23 +128,23 @@
     def handle(
         self, exchange: Exchange, method: str, path: str, body: bytes
     ) -> Reply | None:
-        """Answer one request; ``None`` when the exchange was answered already."""
+        """Answer a request; return ``None`` when the exchange was answered already."""
         raise NotImplementedError
 
     def set_faults(self, body: bytes) -> Reply:
-        """Take faults over HTTP, for stand-ins in processes of their own."""
+        """Set faults by an HTTP request, for stand-ins that run as processes."""
         self.faults.update(json.loads(body))
         return json_reply(self.faults)
 
 
 def serve(make: typing.Callable[[argparse.Namespace], Fake], **flags: object) -> None:
-    """Run a stand-in as a program until it is told to stop."""
+    """Run a stand-in as a program until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--port", type=int, default=0)
     for name, default in flags.items():
         kind = type(default)
         parser.add_argument("--" + name.replace("_", "-"), type=kind, default=default)
-    # Blocked in every thread, so that the wait below gets them.
+    # Block the signals in every thread, so that ``sigwait`` below receives them.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT})
     fake = make(parser.parse_args())
     fake.start()
--- a/gaprock/test/fakes/metastore.py
+++ b/gaprock/test/fakes/metastore.py
@@ -1,11 +1,11 @@
-"""A small stand-in of the users' metadata store, over HTTP on loopback.
-
-Faults are set by a test: ``refuse`` (a status for each call), ``away`` (all calls are
-refused), ``lose`` (writes are done and not answered), ``delay`` (seconds before each
-call is looked at), ``swallow`` (what comes is never answered, also when the store is
-back), ``refuse_tx`` (so many writes are refused), ``odd`` (answers are JSON, but none
-of the store's), ``epoch`` (what stands in the epoch's place); ``compact`` makes the
-history go, ``restore`` brings an older copy back.
+"""A small stand-in for the users' metadata store, over HTTP on loopback.
+
+Tests set faults: ``refuse`` (the status of each answer), ``away`` (all calls get 503),
+``lose`` (writes are done but not answered), ``delay`` (seconds before each call is
+handled), ``swallow`` (calls are never answered, even after the fault is over),
+``refuse_tx`` (number of writes to refuse), ``odd`` (answers are JSON, but not the
+store's), ``epoch`` (value of the epoch's header; ``None`` leaves it out).  ``compact``
+discards the history, ``restore`` brings back an older copy.
 """
 
 import base64
@@ -17,13 +17,13 @@
 
 from gaprock.test.fakes import httpfake
 
-# A page of rows is this long here, so that a test meets a second one.
+# Rows on a page; few, so that a test needs a second page.
 PAGE_ROWS: typing.Final = 3
 Name = tuple[str, str]
 
 
 class MetaStoreFake(httpfake.Fake):
-    """Rows, transactions and the feed."""
+    """The store's rows, transactions and change feed."""
 
     def __init__(self, port: int = 0) -> None:
         super().__init__(port)
@@ -31,17 +31,17 @@
         self._rows: dict[Name, tuple[bytes, int]] = {}
         self._history: list[tuple[Name, bytes | None, int]] = []
         self.version = 0
-        # The rows that were written since the latest restore.
+        # Names of the rows that were written since the latest restore.
         self._written: set[Name] = set()
         self.history_start = 0
-        # Rises with each restore.
+        # Raised by each restore.
         self.epoch = 0
-        # Whether polls that wait go on over a restore without an answer.
+        # Whether long polls stay open over a restore without an answer.
         self.withholds_restores = False
         self.calls: list[str] = []
-        # The tables of the polls that wait now.
+        # The tables of the long polls that are open now.
         self.waiting: list[str] = []
-        # The tables that calls were about which are never answered.
+        # The tables of the calls that are never answered.
         self.unanswered_polls: list[str] = []
         self._stopping = threading.Event()
         # The store's steady clock.
@@ -50,7 +50,7 @@
     # -- For tests --
 
     def put(self, table: str, key: str, value: object) -> int:
-        """Write a row as the operator or a server does."""
+        """Write a row as the operator or an endpoint does."""
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         with self._changed:
             return self._write({(table, key): raw})
@@ -61,19 +61,19 @@
             return self._write({(table, key): None})
 
     def value(self, table: str, key: str) -> typing.Any:
-        """Give a row's decoded value; ``None`` when there is none."""
+        """Return a row's decoded value; ``None`` when there is no such row."""
         found = self._rows.get((table, key))
         return json.loads(found[0]) if found else None
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the history of changes."""
         with self._changed:
             self.history_start = self.version
 
     def restore(self, version: int) -> dict[Name, bytes | None]:
-        """Come back from a copy of an earlier version; calls that wait are cut.
+        """Restore a copy of an earlier version; open long polls are cut.
 
-        :returns: the rows that were written since, as they were last.
+        :returns: the last values of the rows that were written since that version.
         """
         with self._changed:
             lost = {name: value for name, value, at in self._history if at > version}
@@ -93,7 +93,10 @@
     def rewrite_after_restore(
         self, name: Name, value: bytes | None, epoch: int
     ) -> None:
-        """Write a lost row, unless it was written since the restore to an epoch."""
+        """Write a lost row again, unless it was written since the restore.
+
+        :param epoch: the epoch after that restore; nothing is written in another one.
+        """
         with self._changed:
             if self.epoch == epoch and name not in self._written:
                 self._write({name: value})
--- a/gaprock/test/testgatewaystops.py
+++ b/gaprock/test/testgatewaystops.py
@@ -1,4 +1,4 @@
-"""A gateway's start, readiness and planned stop, its port, and two side by side."""
+"""A gateway's start, readiness, planned stop and port, and gateways side by side."""
 
 import contextlib
 import socket
@@ -12,8 +12,8 @@
 from gaprock.test import site as site_module
 from gaprock.test.fakes import backend
 
-# Open calls that have a port take more threads.
-LOW_CALLS: typing.Final = gateway_http.START_THREADS - gateway_http.LOW_IDLE + 2
+# Open calls with which a port adds threads.
+CALLS_TO_GROW: typing.Final = gateway_http.START_THREADS - gateway_http.LOW_IDLE + 2
 
 
 # -- Stops --
@@ -23,25 +23,25 @@
     cfg.bounds.grace_s = 2.0
 
 
-def test_a_planned_stop_ends_what_is_under_way() -> None:
+def test_a_planned_stop_lets_open_requests_end() -> None:
     with gatewaysite.GatewaySite(short_grace) as site:
         fake = site.add("a", "app")
-        go_on = threading.Event()
+        resume = threading.Event()
 
         def slow(
             own: backend.Backend, seen: backend.ReceivedRequest, conn: socket.socket
         ) -> None:
-            go_on.wait(5)
+            resume.wait(5)
             backend.answer(own, seen, conn)
 
         fake.default_script = slow
-        later = site.start_call("/safe/x")
+        pending = site.start_call("/safe/x")
         gatewaysite.wait_until(lambda: fake.seen, "the request arrived")
         stopping = threading.Thread(target=site.gateway.stop, daemon=True)
         stopping.start()
         gatewaysite.wait_until(lambda: site.gateway.leaving, "leaving")
-        go_on.set()
-        assert later.get().status == 200
+        resume.set()
+        assert pending.get().status == 200
         stopping.join(10)
         assert not stopping.is_alive()
         assert site.gateway.server.open_calls == 0
@@ -50,14 +50,14 @@
         assert answer.headers["connection"] == "close"
 
 
-def test_a_process_at_its_end_takes_nothing_more() -> None:
+def test_a_process_refuses_requests_after_its_planned_stop() -> None:
     with gatewaysite.GatewaySite(short_grace) as site:
         site.add("a", "app")
         routes = [gatewaysite.route("/safe/", "safe", "app", TimeoutMs=100)]
         site.store.put("op", "config", gatewaysite.config(2, Routes=routes))
         gatewaysite.wait_until(lambda: site.in_force == 2)
         site.gateway.stop()
-        # Its answer would still be due before the process is killed.
+        # It is refused, though its answer would be due before the process is killed.
         assert site.call("/safe/x").status == 503
 
 
@@ -70,26 +70,26 @@
         return gatewaysite.Answer(gatewaysite.read_all(sock)).status
 
 
-def test_a_request_that_comes_during_the_start_is_held_for_a_moment(
+def test_a_request_during_the_start_waits_for_the_first_rows(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     site = gatewaysite.GatewaySite()
     try:
         site.gateway.start()
-        # Nothing is known yet, and nothing comes: refused with a time to come back.
+        # No rows have been read and none come: it is refused with a retry time.
         answer = site.call("/unsafe/x")
         assert (answer.status, "retry-after" in answer.headers) == (503, True)
         monkeypatch.setattr(gateway_serve, "START_WAIT_S", site_module.WAIT_S)
-        later = site.start_call("/unsafe/x")
+        pending = site.start_call("/unsafe/x")
         site.backends["a"] = backend.Backend("a")
         site.write_row("a", "app")
         site.store.put("op", "config", gatewaysite.config(1))
-        assert later.get().status == 200
+        assert pending.get().status == 200
     finally:
         site.__exit__()
 
 
-def test_a_gateway_that_takes_no_connection_is_not_ready(
+def test_a_gateway_that_accepts_no_connections_is_not_ready(
     site: gatewaysite.GatewaySite,
 ) -> None:
     gatewaysite.wait_until(lambda: ready_status(site) == 200, "ready")
@@ -97,7 +97,7 @@
     gatewaysite.wait_until(lambda: ready_status(site) == 503, "not ready")
 
 
-def test_readiness_follows_what_is_known_and_a_stop() -> None:
+def test_a_gateway_is_not_ready_without_configuration_or_while_leaving() -> None:
     site = gatewaysite.GatewaySite(short_grace)
     site.gateway.start()
     try:
@@ -120,49 +120,49 @@
     assert "gaprock_first_byte_seconds_bucket" in text
 
 
-def test_threads_come_with_the_calls_that_are_open() -> None:
-    def many(cfg: options.Options) -> None:
+def test_the_port_adds_threads_for_open_calls() -> None:
+    def allow_many_calls(cfg: options.Options) -> None:
         cfg.max_calls = 100
 
-    with gatewaysite.GatewaySite(many) as site:
+    with gatewaysite.GatewaySite(allow_many_calls) as site:
         site.add("a", "app", Slots=100).default_script = backend.hang
-        laters = [site.start_call("/unsafe/x") for _ in range(60)]
+        pending_calls = [site.start_call("/unsafe/x") for _ in range(60)]
         gatewaysite.wait_until(lambda: len(site.backends["a"].seen) == 60, "all sent")
         site.backends["a"].stop()
-        for later in laters:
-            assert later.get().status in (502, 504)
+        for pending in pending_calls:
+            assert pending.get().status in (502, 504)
 
 
-def test_a_port_that_is_closed_while_its_threads_come_ends(
+def test_a_port_that_is_closed_while_it_adds_threads_stops(
     site: gatewaysite.GatewaySite,
 ) -> None:
-    # Threads that the pool did not know yet took the word to end from busy ones that it
-    # knew, and these were waited for, for ever.
+    # The pool did not yet know new threads, which took the messages to end that were
+    # meant for its busy threads.  The pool then waited for the busy ones for ever.
     site.add("a", "app").default_script = backend.hang
     port = site.gateway.port
     pool = port._server.requests
-    spawn, is_growing, go_on = pool._spawn_worker, threading.Event(), threading.Event()
+    spawn, is_growing, resume = pool._spawn_worker, threading.Event(), threading.Event()
 
     def spawn_slowly() -> typing.Any:
         worker = spawn()
         is_growing.set()
-        go_on.wait(1.0)
+        resume.wait(1.0)
         return worker
 
     pool._spawn_worker = spawn_slowly
-    laters = [site.start_call("/unsafe/x") for _ in range(LOW_CALLS)]
+    pending_calls = [site.start_call("/unsafe/x") for _ in range(CALLS_TO_GROW)]
     assert is_growing.wait(site_module.WAIT_S)
     stop = threading.Thread(target=port.stop, daemon=True)
     stop.start()
-    go_on.wait(0.5)
-    go_on.set()
-    for later in laters:
-        later.get()
+    resume.wait(0.5)
+    resume.set()
+    for pending in pending_calls:
+        pending.get()
     stop.join(site_module.WAIT_S)
     assert not stop.is_alive()
 
 
-def test_two_gateways_find_each_other_and_tell_their_loads() -> None:
+def test_two_gateways_find_each_other_and_share_their_loads() -> None:
     def with_mesh(cfg: options.Options) -> None:
         cfg.mesh_port = ports.free_port()
 
@@ -178,15 +178,15 @@
         fake = first.add("a", "app")
         fake.default_script = backend.hang
         gatewaysite.wait_until(lambda: second.mesh.living() == ["gateway-1"])
-        later = first.start_call("/unsafe/x")
+        pending = first.start_call("/unsafe/x")
         gatewaysite.wait_until(
-            lambda: second.directory.usable("app", set())[0].load == 1, "load is told"
+            lambda: second.directory.usable("app", set())[0].load == 1, "load is known"
         )
         fake.stop()
-        later.get()
+        pending.get()
 
 
-def test_gateways_that_rest_get_the_configuration_from_readers() -> None:
+def test_gateways_on_standby_get_the_configuration_from_readers() -> None:
     def with_mesh(cfg: options.Options) -> None:
         cfg.mesh_port = ports.free_port()
 
@@ -205,9 +205,9 @@
             stack.callback(other.close)
         last = others[-1]
         gatewaysite.wait_until(lambda: last.is_ready, "it is ready")
-        gatewaysite.wait_until(last.mesh.has_readers, "it hears two readers")
+        gatewaysite.wait_until(last.mesh.has_readers, "it hears from two readers")
         for number in range(2, 30):
-            # Its poll that is under way ends with the first change; then it rests.
+            # Its open long poll ends with the first change; then it goes on standby.
             first.store.put("op", "config", gatewaysite.config(number))
             first.store.put("servers", f"e{number}", {})
             first.store.put("status", f"s{number}", {})
@@ -222,7 +222,7 @@
         first.store.put("op", "config", gatewaysite.config(50))
         gatewaysite.wait_until(
             lambda: last.orders.table is not None and last.orders.table.number == 50,
-            "the configuration by way of a reader",
+            "the configuration from a reader",
         )
 
 
--- a/gaprock/test/testsignals.py
+++ b/gaprock/test/testsignals.py
@@ -1,4 +1,4 @@
-"""Signals to real gateway processes, also while these stand still."""
+"""Signals to real gateway processes, also while these are stopped or starting."""
 
 import pathlib
 import signal
@@ -10,8 +10,9 @@
 
 from gaprock.test import gatewaysite, soak_fleet, soak_ledger
 
-# Signals that meet a stopped process are taken by any of its threads, by chance.
-TIMES: typing.Final = 3
+# A signal to a stopped process is handled by any of its threads, by chance; so the test
+# is repeated.
+REPETITIONS: typing.Final = 3
 
 
 @pytest.fixture(name="fleet")
@@ -21,11 +22,11 @@
         yield fleet
 
 
-def test_a_stop_that_meets_a_paused_process_is_carried_out(
+def test_a_paused_process_stops_once_it_continues(
     fleet: soak_fleet.Fleet,
 ) -> None:
     gateway = fleet.gateways[0]
-    for _ in range(TIMES):
+    for _ in range(REPETITIONS):
         gateway.signal(signal.SIGSTOP)
         time.sleep(0.2)
         gateway.signal(signal.SIGTERM)
@@ -36,24 +37,24 @@
         assert fleet.wait_ready()
 
 
-def test_a_change_of_settings_during_the_start_ends_nothing(
+def test_sighup_during_the_start_does_not_end_the_process(
     fleet: soak_fleet.Fleet,
 ) -> None:
     gateway = fleet.gateways[0]
     gateway.end(signal.SIGKILL)
     gateway.start()
     assert gateway.process is not None
-    # Once the interpreter runs the program, and before its imports are done.
+    # The interpreter runs the program, whose imports are not done yet.
     gatewaysite.wait_until(
-        lambda: ignores(gateway.process, signal.SIGHUP), "SIGHUP is ignored"
+        lambda: ignores_or_handles(gateway.process, signal.SIGHUP), "SIGHUP is ignored"
     )
     gateway.signal(signal.SIGHUP)
     assert fleet.wait_ready()
     assert gateway.process.poll() is None
 
 
-def ignores(process: "subprocess.Popen[bytes] | None", number: int) -> bool:
-    """Whether a process ignores or handles a signal, as the kernel sees it."""
+def ignores_or_handles(process: "subprocess.Popen[bytes] | None", number: int) -> bool:
+    """Return whether the kernel shows that a process ignores or handles a signal."""
     assert process is not None
     status = pathlib.Path(f"/proc/{process.pid}/status").read_text()
     masks = dict(line.split(":", 1) for line in status.splitlines() if ":" in line)
--- a/gaprock/test/testsuspended.py
+++ b/gaprock/test/testsuspended.py
@@ -1,7 +1,8 @@
-"""A machine that is suspended for seconds: what was known before is as old as it is.
+"""A suspension of the machine for seconds must not make old data look fresh.
 
-The system's waits, and the usual steady clock, stand still meanwhile.  A suspension is
-played by the one clock that counts it, which jumps ahead; the store's does, too.
+The system's waits and ``CLOCK_MONOTONIC`` stand still during a suspension.  The tests
+simulate one by moving ahead ``CLOCK_BOOTTIME``, the one clock that counts it, and the
+store's clock with it.
 """
 
 import pathlib
@@ -27,12 +28,13 @@
 
 SOURCES: typing.Final = pathlib.Path(clock.__file__).parent
 pytestmark = pytest.mark.skipif(
-    not clock.COUNTS_SUSPENSION, reason="the system has no clock that counts it"
+    not clock.COUNTS_SUSPENSION,
+    reason="the system has no clock that counts suspensions",
 )
 
 
-class Hands:
-    """The two clocks of a machine; ``suspend`` lets one stand."""
+class MachineClocks:
+    """The two clocks of a machine, of which a suspension moves only one ahead."""
 
     def __init__(self) -> None:
         self._real = time.clock_gettime
@@ -43,71 +45,74 @@
         return self._real(which) + ahead_s
 
     def suspend(self, seconds: float) -> None:
-        """Have the machine wake after so long."""
+        """Simulate a suspension that lasts some seconds."""
         self.suspended_s += seconds
 
 
 @pytest.fixture
-def hands(monkeypatch: pytest.MonkeyPatch) -> Hands:
-    found = Hands()
+def clocks(monkeypatch: pytest.MonkeyPatch) -> MachineClocks:
+    found = MachineClocks()
     monkeypatch.setattr(time, "clock_gettime", found.gettime)
     return found
 
 
-def make_site(hands: Hands) -> gatewaysite.GatewaySite:
-    """Make a site whose store goes on while the gateway's machine is suspended."""
+def make_site(clocks: MachineClocks) -> gatewaysite.GatewaySite:
+    """Build a site whose store goes on while the gateway's machine is suspended."""
     made = gatewaysite.GatewaySite()
     steady = clock.SteadyClock()
     made.store.now_ms = lambda: int(steady.now() * 1000)
     return made
 
 
-def test_a_suspension_is_counted(hands: Hands) -> None:
-    steady, standing = clock.SteadyClock(), clock.MonotonicClock()
-    watch = clock.GapDetector(steady, 60.0)
-    before, before_standing = steady.now(), standing.now()
-    assert watch.look() == []
-    hands.suspend(20.0)
-    assert steady.now() - before >= 20.0 > standing.now() - before_standing
-    (gap,) = watch.look()
+def test_the_steady_clock_counts_a_suspension(clocks: MachineClocks) -> None:
+    steady, monotonic = clock.SteadyClock(), clock.MonotonicClock()
+    detector = clock.GapDetector(steady, 60.0)
+    before, before_monotonic = steady.now(), monotonic.now()
+    assert detector.look() == []
+    clocks.suspend(20.0)
+    assert steady.now() - before >= 20.0 > monotonic.now() - before_monotonic
+    (gap,) = detector.look()
     assert gap.kind == clock.SUSPENDED and gap.length_s == pytest.approx(20.0, abs=0.1)
-    assert watch.look() == []
+    assert detector.look() == []
 
 
-def test_a_process_that_stood_still_is_told_from_a_machine_that_was_suspended() -> None:
-    steady, standing = clock.ManualClock(), clock.ManualClock()
-    watch = clock.GapDetector(steady, 1.0, standing)
-    for one in (steady, standing):
+def test_a_process_that_stood_still_differs_from_a_suspended_machine() -> None:
+    steady, monotonic = clock.ManualClock(), clock.ManualClock()
+    detector = clock.GapDetector(steady, 1.0, monotonic)
+    for one in (steady, monotonic):
         one.advance(5.0)
-    assert watch.look() == [clock.Gap(clock.STOOD_STILL, 4.0)]
+    assert detector.look() == [clock.Gap(clock.STOOD_STILL, 4.0)]
     steady.advance(3.0)
-    assert watch.look() == [clock.Gap(clock.SUSPENDED, 3.0)]
+    assert detector.look() == [clock.Gap(clock.SUSPENDED, 3.0)]
 
 
 @pytest.mark.parametrize(
-    "seconds, is_served", [(0.5, True), (3.0, False), (20.0, False)]
+    "seconds, is_final", [(0.5, True), (3.0, False), (20.0, False)]
 )
-def test_what_was_allowed_before_a_suspension_is_not_allowed_by_it(
-    hands: Hands, seconds: float, is_served: bool
+def test_a_stale_configuration_gives_no_final_refusal_after_a_suspension(
+    clocks: MachineClocks, seconds: float, is_final: bool
 ) -> None:
-    """A key is taken away meanwhile, and the store says nothing when we wake."""
-    with make_site(hands) as site:
+    """A key may be revoked meanwhile, and the store does not answer afterwards."""
+    with make_site(clocks) as site:
         site.add("one", "app")
         assert site.call("/safe/x").status == 200
         site.store.faults["swallow"] = True
-        hands.suspend(seconds)
+        clocks.suspend(seconds)
         answer = site.call("/nowhere/x")
-        # Within the bound of a change it is said for good; later it may be there now.
-        assert answer.status == (404 if is_served else 503)
-        assert (float(answer.headers.get("retry-after", "0")) > 0) is not is_served
+        # Within the time in which changes come into force, 404 is final.  Later, the
+        # route may exist by now, so the caller is told to retry.
+        assert answer.status == (404 if is_final else 503)
+        assert (float(answer.headers.get("retry-after", "0")) > 0) is not is_final
 
 
-def test_a_key_that_was_taken_away_while_suspended_serves_nobody(hands: Hands) -> None:
-    with make_site(hands) as site:
+def test_a_key_that_was_revoked_during_a_suspension_is_refused(
+    clocks: MachineClocks,
+) -> None:
+    with make_site(clocks) as site:
         fake = site.add("one", "app")
         assert site.call("/safe/x").status == 200
         site.store.put("op", "config", gatewaysite.config(2, Tenants=[]))
-        hands.suspend(20.0)
+        clocks.suspend(20.0)
         gatewaysite.wait_until(
             lambda: site.call("/safe/x").status == 401, "the change is in force"
         )
@@ -115,27 +120,33 @@
         assert site.call("/safe/x").status == 401 and len(fake.seen) == served
 
 
-def test_an_open_call_ends_at_its_callers_time_not_later(hands: Hands) -> None:
-    with make_site(hands) as site:
+def test_an_open_call_ends_at_its_deadline_after_a_suspension(
+    clocks: MachineClocks,
+) -> None:
+    with make_site(clocks) as site:
         fakes = [site.add(f"e{number}", "app") for number in range(2)]
         for fake in fakes:
             fake.default_script = backend.hang
-        later = site.start_call("/safe/x", X_Deadline_Ms="20000")
-        gatewaysite.wait_until(lambda: any(f.seen for f in fakes), "it waits")
-        hands.suspend(20.0)
-        answer = later.get()
+        pending = site.start_call("/safe/x", X_Deadline_Ms="20000")
+        gatewaysite.wait_until(
+            lambda: any(f.seen for f in fakes), "the request arrived"
+        )
+        clocks.suspend(20.0)
+        answer = pending.get()
         assert answer.status == 504
         assert sum(len(fake.seen) for fake in fakes) == 1
 
 
-def test_a_send_after_a_suspension_says_what_time_is_left(hands: Hands) -> None:
+def test_a_send_after_a_suspension_names_the_time_that_is_left(
+    clocks: MachineClocks,
+) -> None:
     def suspend_first(
         fake: backend.Backend, seen: backend.ReceivedRequest, conn: typing.Any
     ) -> None:
-        hands.suspend(0.5)
+        clocks.suspend(0.5)
         backend.refuse(503)(fake, seen, conn)
 
-    with make_site(hands) as site:
+    with make_site(clocks) as site:
         fakes = [site.add(f"e{number}", "app") for number in range(2)]
         for fake in fakes:
             fake.scripts.append(suspend_first)
@@ -145,23 +156,23 @@
         assert second <= first - 500
 
 
-def test_a_planned_stop_ends_in_time_after_a_suspension(hands: Hands) -> None:
-    with make_site(hands) as site:
+def test_a_planned_stop_ends_in_time_after_a_suspension(clocks: MachineClocks) -> None:
+    with make_site(clocks) as site:
         fake = site.add("one", "app")
         fake.default_script = backend.hang
-        later = site.start_call("/unsafe/x", X_Deadline_Ms="60000")
-        gatewaysite.wait_until(lambda: bool(fake.seen), "it runs")
+        pending = site.start_call("/unsafe/x", X_Deadline_Ms="60000")
+        gatewaysite.wait_until(lambda: bool(fake.seen), "the request runs")
         stop = threading.Thread(target=site.gateway.stop, daemon=True)
         stop.start()
         gatewaysite.wait_until(lambda: site.gateway.leaving, "it leaves")
-        hands.suspend(site.cfg.bounds.grace_s)
-        # Most of its grace time would still have to pass by the clock that stood.
+        clocks.suspend(site.cfg.bounds.grace_s)
+        # By the clock that stood still, most of the grace period would be left.
         stop.join(site.cfg.bounds.grace_s / 2)
         assert not stop.is_alive()
-        later.get()
+        pending.get()
 
 
-def test_peers_and_endpoints_marks_are_as_old_as_they_are(hands: Hands) -> None:
+def test_a_peer_is_not_living_after_a_suspension(clocks: MachineClocks) -> None:
     def with_mesh(cfg: options.Options) -> None:
         cfg.mesh_port = ports.free_port()
 
@@ -175,20 +186,20 @@
             )
         )
         assert mesh_.living() == ["peer"]
-        hands.suspend(3.0)
+        clocks.suspend(3.0)
         assert mesh_.living() == []
 
 
-def test_an_attempt_of_the_own_mode_is_not_waited_for_past_its_deadline() -> None:
-    day = clock.ManualClock()
+def test_no_wait_for_an_attempt_outlasts_its_deadline() -> None:
+    clock_ = clock.ManualClock()
     attempt = entry_attempt.Attempt(
-        1, typing.cast(messages.Start, None), "i", day.now()
+        1, typing.cast(messages.Start, None), "i", clock_.now()
     )
     caught: list[errors.GaprockError] = []
 
     def wait() -> None:
         try:
-            attempt.wait_first(day.now() + 3600.0, day)
+            attempt.wait_first(clock_.now() + 3600.0, clock_)
         except errors.GaprockError as exc:
             caught.append(exc)
 
@@ -196,12 +207,12 @@
     thread.start()
     thread.join(0.1)
     assert thread.is_alive()
-    day.advance(3601.0)
+    clock_.advance(3601.0)
     thread.join(site_module.WAIT_S)
     assert len(caught) == 1
 
 
-def test_no_other_reading_of_a_steady_clock_stands_in_the_code() -> None:
+def test_only_the_clock_module_reads_a_steady_clock() -> None:
     reading = re.compile(r"time\.monotonic|CLOCK_MONOTONIC|perf_counter|\.wait_for\(")
     found = [
         f"{path.name}: {line.strip()}"
--- a/gaprock/test/testunstopped.py
+++ b/gaprock/test/testunstopped.py
@@ -1,4 +1,4 @@
-"""A bad version is stopped, also when its answers do not come."""
+"""A rollout of a bad version is halted, also when its answers are missing or slow."""
 
 import threading
 import time as steady
@@ -10,17 +10,15 @@
 from gaprock.test import gatewaysite, rolloutcase
 from gaprock.test.fakes import backend
 
-# Requests to the new version, and how many at a time.
-ASKED: typing.Final = 30
-AT_A_TIME: typing.Final = 10
-
-
-# A caller waits so long, seconds.
+# Requests to the new version, and how many of them run at the same time.
+REQUESTS: typing.Final = 30
+CONCURRENT: typing.Final = 10
+# How long a caller waits, seconds.
 WAIT_S: typing.Final = 0.5
 
 
-def ask_in_vain(site: gatewaysite.GatewaySite, request: str, leaves: bool) -> None:
-    """Make a request that gets no answer in its time, or until its caller leaves."""
+def send_unanswered(site: gatewaysite.GatewaySite, request: str, leaves: bool) -> None:
+    """Send a request that gets no answer until its deadline, or its caller leaves."""
     if leaves:
         with site.connect() as sock:
             sock.sendall(site.request("/unsafe/x", X_Request_Id=request))
@@ -29,12 +27,13 @@
         site.call("/unsafe/x", X_Request_Id=request, X_Deadline_Ms="500")
 
 
-def order_beside(
+def order_new_version(
     site: gatewaysite.GatewaySite, old_takes_s: float
 ) -> tuple[backend.Backend, list[str]]:
-    """Order a new version beside an old one that has answered.
+    """Order the rollout of a new version when the old one has given some answers.
 
-    :returns: the new one's endpoint, and requests that it gets.
+    :param old_takes_s: time that the old version takes for an answer, seconds.
+    :returns: the new version's endpoint, and the ids of requests that go to it.
     """
     old = site.add("old", "app", Version="v1")
 
@@ -55,14 +54,14 @@
 
 
 @pytest.mark.parametrize("leaves", [False, True])
-def test_a_version_that_gives_no_answers_is_stopped(leaves: bool) -> None:
+def test_a_version_that_gives_no_answers_is_halted(leaves: bool) -> None:
     with gatewaysite.GatewaySite() as site:
-        fake, requests = order_beside(site, 0.0)
+        fake, requests = order_new_version(site, 0.0)
         fake.default_script = backend.hang
-        for first in range(0, ASKED, AT_A_TIME):
+        for first in range(0, REQUESTS, CONCURRENT):
             threads = [
-                threading.Thread(target=ask_in_vain, args=(site, one, leaves))
-                for one in requests[first : first + AT_A_TIME]
+                threading.Thread(target=send_unanswered, args=(site, one, leaves))
+                for one in requests[first : first + CONCURRENT]
             ]
             for thread in threads:
                 thread.start()
@@ -71,7 +70,7 @@
         assert site.gateway.rollouts.all()[0].halted
 
 
-def judge(
+def add_latencies(
     book: rollouts.Rollouts, version: str, took_s: typing.Iterable[float]
 ) -> None:
     for one in took_s:
@@ -79,81 +78,82 @@
         book.judge_answer("llm", version, "r1", "m", answer)
 
 
-# Endpoints of which half work as usual and half take six times as long, seconds.
+# Latencies where half of the endpoints are as fast as usual and half take six times as
+# long, seconds.
 HALF_SLOW: typing.Final = [0.06, 0.36] * 50
 
 
-def is_stopped_beside_slow_ones(took_s: list[float]) -> bool:
-    """Whether a version is stopped where half of the old answers are slow."""
+def is_halted_beside_slow_ones(took_s: list[float]) -> bool:
+    """Return whether a version is halted if half of the old one's answers are slow."""
     time = clock.ManualClock(100.0)
     book = rolloutcase.make_rollouts(time)
     rollout = book.add_order(rolloutcase.order(), 7, time.now())
-    judge(book, "v1", HALF_SLOW)
-    judge(book, "v2", took_s)
+    add_latencies(book, "v1", HALF_SLOW)
+    add_latencies(book, "v2", took_s)
     return rollout.halted
 
 
 def test_slow_answers_of_the_old_version_do_not_hide_a_slow_new_one() -> None:
-    assert is_stopped_beside_slow_ones([0.36] * 40)
+    assert is_halted_beside_slow_ones([0.36] * 40)
 
 
 def test_a_version_that_is_as_slow_as_the_old_one_goes_on() -> None:
-    assert not is_stopped_beside_slow_ones(HALF_SLOW)
+    assert not is_halted_beside_slow_ones(HALF_SLOW)
 
 
-def answers(book: rollouts.Rollouts, version: str, bad: int, good: int) -> None:
+def add_answers(book: rollouts.Rollouts, version: str, bad: int, good: int) -> None:
     for number in range(bad + good):
         answer = rollout_latency.VersionSample(number < bad, 0.1)
         book.judge_answer("llm", version, "r1", "m", answer)
 
 
-def moved_with_doubt(time: clock.ManualClock) -> rolloutcase.WriterCase:
-    """Bring a rollout to its end with some bad answers just before it."""
+def make_suspected_rollout(time: clock.ManualClock) -> rolloutcase.WriterCase:
+    """Bring a rollout near its end, with some bad answers shortly before it."""
     case = rolloutcase.WriterCase(time)
     case.store.answers = [8, 9, 10]
     case.book.add_order(rolloutcase.order(24.0), 7, time.now())
     case.writer.step()
-    answers(case.book, "v1", 0, 100)
-    answers(case.book, "v2", 0, 100)
+    add_answers(case.book, "v1", 0, 100)
+    add_answers(case.book, "v2", 0, 100)
     time.advance(17.3)
     case.writer.step()
-    answers(case.book, "v2", 5, 2)
+    add_answers(case.book, "v2", 5, 2)
     assert not case.book.all()[0].halted
     time.advance(2.5)
     case.writer.step()
     return case
 
 
-def test_a_version_in_doubt_is_not_completed() -> None:
+def test_a_suspected_version_is_not_completed() -> None:
     time = clock.ManualClock(100.0)
-    case = moved_with_doubt(time)
+    case = make_suspected_rollout(time)
     assert case.written() == ["running"]
-    answers(case.book, "v2", 8, 2)
+    add_answers(case.book, "v2", 8, 2)
     time.advance(0.2)
     case.writer.step()
     assert case.written() == ["running", "rolled_back"]
 
 
-def test_a_version_whose_doubt_is_over_is_completed() -> None:
+def test_a_version_that_is_no_longer_suspected_is_completed() -> None:
     time = clock.ManualClock(100.0)
-    case = moved_with_doubt(time)
-    answers(case.book, "v2", 0, 30)
+    case = make_suspected_rollout(time)
+    add_answers(case.book, "v2", 0, 30)
     time.advance(0.2)
     case.writer.step()
     assert case.written() == ["running", "completed"]
 
 
-def test_a_version_that_is_still_in_doubt_at_the_end_is_not_completed() -> None:
+def test_a_version_that_is_suspected_until_the_end_is_rolled_back() -> None:
     time = clock.ManualClock(100.0)
-    case = moved_with_doubt(time)
+    case = make_suspected_rollout(time)
     time.advance(24.0 - rollout_state.WRITE_BEFORE_S - 19.8 + 0.1)
     case.writer.step()
     assert case.written() == ["running", "rolled_back"]
 
 
-def test_answers_that_break_off_speak_against_their_version() -> None:
+def test_answers_that_break_off_count_against_their_version() -> None:
     with gatewaysite.GatewaySite() as site:
-        fake, requests = order_beside(site, 0.0)
+        fake, requests = order_new_version(site, 0.0)
         fake.default_script = backend.reset
 
         def is_halted() -> bool:
@@ -163,29 +163,30 @@
         gatewaysite.wait_until(is_halted, "halted")
 
 
-def test_an_endpoint_that_crashes_does_not_speak_against_its_version() -> None:
+def test_an_endpoint_that_crashes_does_not_count_against_its_version() -> None:
     with gatewaysite.GatewaySite() as site:
-        # Nothing is late before it has crashed.
-        fake, requests = order_beside(site, 0.3)
+        # As the old version takes 0.3 s, no request is late before the crash.
+        fake, requests = order_new_version(site, 0.3)
         crashed = threading.Event()
         fake.default_script = lambda *args: typing.cast(None, crashed.wait(10.0))
-        later = [
+        pending = [
             site.start_call("/unsafe/x", X_Request_Id=name)
-            for name in requests[:AT_A_TIME]
+            for name in requests[:CONCURRENT]
         ]
-        gatewaysite.wait_until(lambda: len(fake.seen) == AT_A_TIME, "they run")
+        gatewaysite.wait_until(lambda: len(fake.seen) == CONCURRENT, "they run")
         fake.stop()
         crashed.set()
-        assert {one.get().status for one in later} == {502}
+        assert {one.get().status for one in pending} == {502}
         assert not site.gateway.rollouts.all()[0].halted
 
 
-def test_a_request_that_fails_wherever_it_is_sent_speaks_once() -> None:
+def test_a_request_that_fails_on_all_endpoints_counts_once() -> None:
     with gatewaysite.GatewaySite() as site:
-        fake, requests = order_beside(site, 0.0)
+        fake, requests = order_new_version(site, 0.0)
         other = site.add("other", "app", Version="v2")
         fake.default_script = other.default_script = backend.fail()
-        # Both are asked where a share of the version's endpoints is both of them.
+        # A new version's requests go to a share of its endpoints; after 70 % of the
+        # rollout's time these are both.
         book = site.gateway.rollouts
         book.all()[0].started_at -= 0.7 * 600
         answers = [
--- a/gaprock/test/testwords.py
+++ b/gaprock/test/testwords.py
@@ -1,4 +1,4 @@
-"""Each word of the platform that the adapter reads stands in its page's table."""
+"""Each of the platform's words that the adapter reads is listed in the page's table."""
 
 import pathlib
 import re
@@ -12,8 +12,8 @@
 PAGE: typing.Final = pathlib.Path(__file__).parents[2] / "docs" / "PLATFORM.md"
 TITLE: typing.Final = "## What the platform says, and who heeds it"
 WORD: typing.Final = re.compile(r"`([A-Za-z][A-Za-z-]*)`")
-# Headers that the platform's pages show in requests, answers and rows.
-SHOWN: typing.Final = (
+# Headers and fields that the platform's pages show in requests, answers and rows.
+PLATFORM_WORDS: typing.Final = (
     """
     host x-request-id last-event-id x-model x-token-counts x-prompt-prefix x-deadline-ms
     authorization connection keep-alive transfer-encoding content-length retry-after
@@ -24,8 +24,8 @@
     service addr zone version slots state coldms born seq stage models
 """.split()
 )
-# What the adapter reads by names that stand in its code alone.
-READ: typing.Final = (
+# Headers that the adapter reads by literals in its code.
+READ_BY_LITERALS: typing.Final = (
     """
     host x-request-id x-model x-token-counts x-prompt-prefix session x-server-stamp
     x-confidence content-encoding
@@ -34,37 +34,39 @@
 
 
 def rows() -> list[list[str]]:
-    """Give the table's rows as cells."""
+    """Return the table's rows as cells."""
     section = PAGE.read_text().split(TITLE)[1].split("\n## ")[0]
     lines = [line for line in section.splitlines() if line.startswith("| ")]
     return [[cell.strip() for cell in line.split("|")[1:-1]] for line in lines[1:]]
 
 
-def known() -> set[str]:
-    """Give the words that the table has, in small letters."""
+def listed_words() -> set[str]:
+    """Return the table's words in lower case."""
     return {word.lower() for row in rows() for word in WORD.findall(row[1])}
 
 
 def read_by_adapter() -> set[str]:
-    """Give the headers and fields of endpoints' rows that the adapter has names for."""
-    headers = wire.CONNECTION_HEADERS | wire.SYSTEM_HEADERS | wire.INNER_ANSWER_HEADERS
+    """Return the headers and the fields of endpoints' rows that the adapter reads."""
+    headers = (
+        wire.CONNECTION_HEADERS | wire.SYSTEM_HEADERS | wire.INTERNAL_ANSWER_HEADERS
+    )
     words = (notices.LIMIT, notices.LEAVING, notices.RETRY_AFTER, notices.DATE)
     fields = {field.name for field in msgspec.structs.fields(documents.ServerDoc)}
     named = {name.decode() for name in headers | set(words)}
     named.add(store.EPOCH_HEADER)
-    return {name.lower() for name in named | fields | set(READ)}
+    return {name.lower() for name in named | fields | set(READ_BY_LITERALS)}
 
 
-def test_every_word_that_the_adapter_reads_stands_in_the_table() -> None:
-    assert read_by_adapter() <= known()
+def test_every_word_that_the_adapter_reads_is_listed() -> None:
+    assert read_by_adapter() <= listed_words()
 
 
-@pytest.mark.parametrize("word", SHOWN)
-def test_every_word_that_the_platform_shows_stands_in_the_table(word: str) -> None:
-    assert word in known()
+@pytest.mark.parametrize("word", PLATFORM_WORDS)
+def test_every_word_that_the_platform_shows_is_listed(word: str) -> None:
+    assert word in listed_words()
 
 
-def test_every_row_says_who_heeds_its_words() -> None:
+def test_every_row_says_who_uses_its_words() -> None:
     assert all(len(row) == 5 and row[4] for row in rows())
 
 
--- a/misc/proofs_gateway_mesh.py
+++ b/misc/proofs_gateway_mesh.py
@@ -30,7 +30,7 @@
     ),
     proofs.gateway(
         "a process that stops refuses in the end",
-        "testgatewaystops.py::test_a_process_at_its_end_takes_nothing_more",
+        "testgatewaystops.py::test_a_process_refuses_requests_after_its_planned_stop",
         "gateway_node.py",
         "        self.server.stop_deadline = "
         "self.server.accept_all_until = self.clock.now()\n",
@@ -51,7 +51,7 @@
     ),
     proofs.gateway(
         "a gateway that takes no connection is not ready",
-        "testgatewaystops.py::test_a_gateway_that_takes_no_connection_is_not_ready",
+        "testgatewaystops.py::test_a_gateway_that_accepts_no_connections_is_not_ready",
         "gateway_node.py",
         "self.is_ready and self.port.is_accepting and not self.leaving",
         "self.is_ready and not self.leaving",
--- a/misc/proofs_gateway_requests.py
+++ b/misc/proofs_gateway_requests.py
@@ -80,8 +80,7 @@
     ),
     proofs.gateway(
         "a request during the start is held for a moment",
-        "testgatewaystops.py::test_a_request_that_comes_during_the_start_is_held_for_a"
-        "_moment",
+        "testgatewaystops.py::test_a_request_during_the_start_waits_for_the_first_rows",
         "gateway_serve.py",
         "        self._await_ready()\n",
     ),
--- a/misc/proofs_gateway_store.py
+++ b/misc/proofs_gateway_store.py
@@ -191,7 +191,7 @@
     ),
     proofs.gateway(
         "a version without answers is stopped",
-        "testunstopped.py::test_a_version_that_gives_no_answers_is_stopped",
+        "testunstopped.py::test_a_version_that_gives_no_answers_is_halted",
         "gateway_judge.py",
         "        if self._judge(call, attempt, call.route.name, judged):\n",
         "        if False:\n",
@@ -206,7 +206,7 @@
     ),
     proofs.gateway(
         "a crash speaks against no version",
-        "testunstopped.py::test_an_endpoint_that_crashes_does_not_speak_against_its"
+        "testunstopped.py::test_an_endpoint_that_crashes_does_not_count_against_its"
         "_version",
         "gateway_judge.py",
         "if not lives or not self.judges_breaks(call):",
@@ -214,7 +214,7 @@
     ),
     proofs.gateway(
         "a version in doubt is not completed",
-        "testunstopped.py::test_a_version_in_doubt_is_not_completed",
+        "testunstopped.py::test_a_suspected_version_is_not_completed",
         "rollout_writer.py",
         "if not self._rollouts.is_suspected(rollout):",
         "if True:",
@@ -269,16 +269,15 @@
     ),
     proofs.gateway(
         "a suspension counts in every age",
-        "testsuspended.py::test_what_was_allowed_before_a_suspension_is_not_allowed"
-        "_by_it",
+        "testsuspended.py::test_a_stale_configuration_gives_no_final_refusal_after_a"
+        "_suspension",
         "clock.py",
         "return time.clock_gettime(time.CLOCK_BOOTTIME)",
         "return time.monotonic()",
     ),
     proofs.gateway(
         "an attempt is not waited for past its deadline",
-        "testsuspended.py::test_an_attempt_of_the_own_mode_is_not_waited_for_past"
-        "_its_deadline",
+        "testsuspended.py::test_no_wait_for_an_attempt_outlasts_its_deadline",
         "clock.py",
         "cond.wait(min(left, SLICE_S))",
         "cond.wait(left)",
