--- a/gaprock/agent_endpoint.py
+++ b/gaprock/agent_endpoint.py
@@ -1,11 +1,12 @@
-"""Calls to one endpoint: a model engine or a plain service, through ``urllib3``.
+"""HTTP client of one endpoint: a model engine or a plain service.
 
 The engine's published protocol:
 
-* ``POST /v1/chat/completions``: with ``stream`` it answers with server-sent
-  events and an ``X-Stream-Id``;
-* ``GET /v1/streams/ID?from=N`` takes a stream up again, ``DELETE`` cancels it;
-* ``GET /load`` reports the load with a lag; ``POST /orders`` takes orders.
+* ``POST /v1/chat/completions``: with ``stream`` the response is a stream of
+  server-sent events and has an ``X-Stream-Id`` header;
+* ``GET /v1/streams/ID?from=N`` resumes a stream at part N, ``DELETE`` cancels it;
+* ``GET /load`` reports the load, with a lag; ``POST /orders`` loads or unloads
+  a version.
 """
 
 import socket
@@ -20,16 +21,16 @@
 DONE_EVENT: typing.Final = b"data: [DONE]"
 READ_BYTES: typing.Final = 64 * 1024
 POOL_SIZE: typing.Final = 256
-ORDER_WAIT_S: typing.Final = 30.0
-LOAD_WAIT_S: typing.Final = 1.0
+ORDER_TIMEOUT_S: typing.Final = 30.0
+LOAD_TIMEOUT_S: typing.Final = 1.0
 DEFAULT_PORT: typing.Final = 80
 MAX_ERROR_CHARS: typing.Final = 200
-# When to come back after a refusal that names no time, seconds.
+# Retry delay after a refusal whose ``Retry-After`` is missing, invalid or zero.
 REFUSED_RETRY_S: typing.Final = 1.0
 
 
 class EngineLoad(msgspec.Struct):
-    """What an engine reports of itself."""
+    """The load report of an engine."""
 
     running: int = 0
     slots: int = 0
@@ -39,7 +40,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """A whole answer of an endpoint."""
+    """A complete, unstreamed answer of an endpoint."""
 
     status: int
     content_type: str
@@ -47,30 +48,30 @@
 
 
 class EndpointStream:
-    """A streamed answer, one event a part, as raw bytes."""
+    """A streamed answer; each server-sent event is one part, kept as raw bytes."""
 
-    __slots__ = ("stream_id", "_resp", "_buffer", "whole")
+    __slots__ = ("stream_id", "_resp", "_buffer", "is_complete")
 
     def __init__(self, resp: urllib3.BaseHTTPResponse) -> None:
         self.stream_id = resp.headers.get("X-Stream-Id", "")
         self._resp = resp
         self._buffer = b""
-        # Whether the end mark has been read.
-        self.whole = False
+        # Whether the ``[DONE]`` event has been read.
+        self.is_complete = False
 
     def read_parts(self) -> list[bytes]:
-        """Read the events that are there, waiting for one at least.
+        """Read the events that have arrived; block until there is at least one.
 
-        :returns: the events without the end mark; empty at the stream's end.
+        :returns: the events except ``[DONE]``; empty once the stream has ended.
         :raises urllib3.exceptions.HTTPError: when the connection broke.
         """
-        while not self.whole:
+        while not self.is_complete:
             data = self._resp.read1(READ_BYTES)
             if not data:
                 return []
             *events, self._buffer = (self._buffer + data).split(EVENT_END)
             if events and events[-1] == DONE_EVENT:
-                self.whole = True
+                self.is_complete = True
                 events.pop()
             if events:
                 return [event + EVENT_END for event in events]
@@ -82,7 +83,7 @@
 
 
 class Endpoint:
-    """One endpoint; safe for all threads."""
+    """Client of one endpoint; thread-safe."""
 
     __slots__ = ("option", "_pool", "_cfg", "_clock", "_backoff_until")
 
@@ -93,27 +94,27 @@
         self._cfg = cfg
         self._clock = clock_
         self._pool = urllib3.PoolManager(maxsize=POOL_SIZE, retries=False)
-        # Until when the endpoint wants no new requests.
+        # The endpoint asked for no new requests before this time.
         self._backoff_until = -clock.NEVER
 
     def call(
         self, path: str, body: bytes, request: str, deadline: float, repeatable: bool
     ) -> Answer:
-        """Make one whole call.
+        """Make one unstreamed call.
 
-        One that may not be repeated gets a connection of its own: a kept one could be
-        closed by the other side just as the call is written, and then nobody knows
+        A call that may not be repeated gets a new connection: the endpoint could
+        close a pooled one just as the call is written, and then it is unknown
         whether the call was read.
 
         :raises errors.GaprockError: *not run* when no connection was made or the
-            endpoint refused, *outcome unknown* when its answer did not come.
+            endpoint refused, *outcome unknown* when no complete answer arrived.
         """
         self.check_backoff()
         resp = self._open("POST", path, body, request, deadline, keep=repeatable)
         try:
             data = resp.read()
         except urllib3.exceptions.HTTPError as exc:
-            raise self._unknown(exc) from exc
+            raise self._unknown_outcome(exc) from exc
         resp.release_conn()
         content_type = resp.headers.get("Content-Type", "application/json")
         return Answer(resp.status, content_type, data)
@@ -123,8 +124,8 @@
     ) -> EndpointStream:
         """Open a streamed call.
 
-        :raises errors.GaprockError: as ``call``; ``ENDPOINT_ERROR`` when the
-            endpoint answered with an error.
+        :raises errors.GaprockError: as ``call``, and ``ENDPOINT_ERROR`` when the
+            response has another status than 200.
         """
         self.check_backoff()
         resp = self._open("POST", path, body, request, deadline, keep=True)
@@ -132,9 +133,11 @@
         return EndpointStream(resp)
 
     def resume(self, stream_id: str, start: int, deadline: float) -> EndpointStream:
-        """Take a stream up again from a part's number.
+        """Resume a stream.
 
-        :raises errors.GaprockError: when the endpoint does not have it any more.
+        :param start: number of the first part to read.
+        :raises errors.GaprockError: when the endpoint no longer has the stream, or
+            as ``call``.
         """
         path = f"/v1/streams/{stream_id}?from={start}"
         resp = self._open("GET", path, None, "", deadline, keep=True)
@@ -142,12 +145,15 @@
         return EndpointStream(resp)
 
     def cancel(self, stream_id: str) -> None:
-        """Cancel a stream; the endpoint may have ended it already."""
+        """Cancel a stream, as far as possible: errors are ignored.
+
+        The stream may have ended already.
+        """
         try:
             self._pool.request(
                 "DELETE",
                 f"{self.option.url}/v1/streams/{stream_id}",
-                timeout=LOAD_WAIT_S,
+                timeout=LOAD_TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError:
             return
@@ -155,14 +161,16 @@
     def load(self) -> EngineLoad:
         """Read the endpoint's load report.
 
-        :raises urllib3.exceptions.HTTPError: when it did not answer.
-        :raises msgspec.DecodeError: when the report is unreadable.
+        :raises urllib3.exceptions.HTTPError: when the endpoint did not answer.
+        :raises msgspec.DecodeError: when the report cannot be decoded.
         """
-        resp = self._pool.request("GET", self.option.url + "/load", timeout=LOAD_WAIT_S)
+        resp = self._pool.request(
+            "GET", self.option.url + "/load", timeout=LOAD_TIMEOUT_S
+        )
         return msgspec.json.decode(resp.data, type=EngineLoad)
 
-    def takes_connections(self) -> bool:
-        """Whether the endpoint takes a new connection now."""
+    def accepts_connections(self) -> bool:
+        """Check whether the endpoint accepts a new TCP connection."""
         parsed = urllib3.util.parse_url(self.option.url)
         address = parsed.host or "", parsed.port or DEFAULT_PORT
         try:
@@ -173,15 +181,17 @@
         return True
 
     def order(self, action: str, version: str, epoch: int) -> None:
-        """Give an order.
+        """Send an order.
 
-        :raises errors.GaprockError: ``FENCED`` when the endpoint knows a higher
-            epoch, ``ENDPOINT_ERROR`` or ``ENDPOINT_UNREACHABLE``.
+        :raises errors.GaprockError: ``FENCED`` when the endpoint answers 409, as it
+            does when it has seen a higher epoch; ``ENDPOINT_ERROR`` when it answers
+            with another status than 200; ``ENDPOINT_UNREACHABLE`` when it does not
+            answer.
         """
         body = {"action": action, "version": version, "epoch": epoch}
         try:
             resp = self._pool.request(
-                "POST", self.option.url + "/orders", json=body, timeout=ORDER_WAIT_S
+                "POST", self.option.url + "/orders", json=body, timeout=ORDER_TIMEOUT_S
             )
         except urllib3.exceptions.HTTPError as exc:
             raise errors.GaprockError(
@@ -227,50 +237,50 @@
                 errorcodes.ENDPOINT_UNREACHABLE, self.option.name
             ) from exc
         except urllib3.exceptions.HTTPError as exc:
-            raise self._unknown(exc) from exc
-        if self._was_refused(resp.status):
+            raise self._unknown_outcome(exc) from exc
+        if self._is_refusal(resp.status):
             resp.close()
-            raise self._refused(resp)
+            raise self._record_refusal(resp)
         return resp
 
-    def _refused(self, resp: urllib3.BaseHTTPResponse) -> errors.GaprockError:
-        """Take a refusal, and how long the endpoint wants nothing more."""
+    def _record_refusal(self, resp: urllib3.BaseHTTPResponse) -> errors.GaprockError:
+        """Record the backoff that a refusal asks for, and return the error to raise."""
         now = self._clock.now()
-        named_s = retry_after.seconds(
+        retry_after_s = retry_after.seconds(
             resp.headers.get("Retry-After", ""), resp.headers.get("Date", "")
         )
-        if not named_s:
-            return self._refusal(now + REFUSED_RETRY_S)
-        until = now + min(named_s, backoffs.LONGEST_S)
+        if not retry_after_s:
+            return self._refusal_error(now + REFUSED_RETRY_S)
+        until = now + min(retry_after_s, backoffs.LONGEST_S)
         if now >= self._backoff_until:
             eventlog.info(
                 "endpoint-backoff", endpoint=self.option.name, for_s=until - now
             )
         self._backoff_until = max(self._backoff_until, until)
-        return self._refusal(self._backoff_until)
+        return self._refusal_error(self._backoff_until)
 
-    def _refusal(self, retry_at: float) -> errors.GaprockError:
+    def _refusal_error(self, retry_at: float) -> errors.GaprockError:
         name = self.option.name
         return errors.GaprockError(errorcodes.ENDPOINT_REFUSED, name, retry_at)
 
     @property
     def is_backing_off(self) -> bool:
-        """Whether it turned a request away and wants nothing more for now."""
+        """Whether the backoff that the endpoint asked for is still running."""
         return self._clock.now() < self._backoff_until
 
     def check_backoff(self) -> None:
-        """Refuse a request that the endpoint does not want now.
+        """Check that the endpoint is not backing off.
 
-        :raises errors.GaprockError: ``ENDPOINT_REFUSED``.
+        :raises errors.GaprockError: ``ENDPOINT_REFUSED`` while it is.
         """
         if self.is_backing_off:
-            raise self._refusal(self._backoff_until)
+            raise self._refusal_error(self._backoff_until)
 
-    def _was_refused(self, status: int) -> bool:
-        """Whether a status says that the request was surely not run.
+    def _is_refusal(self, status: int) -> bool:
+        """Check whether a status means that the request was certainly not run.
 
-        Engines publish that of 429 and 503.  Of a plain service only 429 is
-        believed: a 503 may come from something that stands behind it.
+        The engines' protocol guarantees this for 429 and 503.  For a plain service
+        only 429 counts: a 503 may come from a server that the service itself calls.
         """
         return status == 429 or (status == 503 and self.option.kind == "engine")
 
@@ -282,7 +292,7 @@
             errorcodes.ENDPOINT_ERROR, f"status {resp.status}: {_excerpt(data)}"
         )
 
-    def _unknown(self, exc: Exception) -> errors.GaprockError:
+    def _unknown_outcome(self, exc: Exception) -> errors.GaprockError:
         return errors.GaprockError(
             errorcodes.OUTCOME_UNKNOWN, f"{self.option.name} gave no answer: {exc}"
         )
--- a/gaprock/agent_gate.py
+++ b/gaprock/agent_gate.py
@@ -1,8 +1,8 @@
-"""The gate before an agent's endpoints: what may run there, and when.
+"""Admission of requests to an agent's endpoints.
 
-The last check before an endpoint is made here, by the newest configuration that
-either the entry or this agent knows.  What passes is admitted, queued or refused
-by the endpoint's admission plug-in, and run on a thread of its own.
+The last check before a request reaches an endpoint is made here, by the newest
+configuration that the entry or this agent knows.  The endpoint's admission plug-in
+then starts, queues or refuses the request.  Each running request has a thread.
 """
 
 import math
@@ -31,28 +31,29 @@
     quarantine,
 )
 
-# An endpoint whose load report failed so often takes nothing new.
+# An endpoint gets no new requests once its load report has failed this often in a row.
 MAX_LOAD_FAILURES: typing.Final = 2
 LEAVING_RETRY_S: typing.Final = 1.0
-# What a refusal by admission says to the caller, by the verdict's reason.
-REASONS: typing.Final = {
+# Error detail of a refusal by admission, by the reason of the verdict.
+REFUSAL_DETAILS: typing.Final = {
     "deadline": "the time for its first part had passed",
     "too-late": "its turn would come too late",
     "queue": "the queue is full",
 }
-# Ends of a run whose answer broke off.
+# Result codes of a run whose answer broke off.
 CUT_CODES: typing.Final = frozenset(
     (errorcodes.OUTCOME_UNKNOWN.number, errorcodes.STREAM_CUT.number)
 )
-# Tells the lives that this process saw from those that an earlier one did.
-_START: typing.Final = ids.new_token()
-# The reported time of a run halves for each such time without a run, seconds, so
-# that an endpoint that was slow once is tried again.
+# Part of an incarnation's name: sets those that this process counted apart from those
+# that an earlier agent process counted.
+_PROCESS_TOKEN: typing.Final = ids.new_token()
+# The reported mean time of a run halves each time this long passes without a run's
+# end, so that an endpoint that was slow once is tried again.
 SERVICE_HALF_LIFE_S: typing.Final = 5.0
 
 
 class Slot:
-    """One endpoint with its admission and its last reported load."""
+    """One endpoint with its admission state and its last load report."""
 
     __slots__ = (
         "endpoint",
@@ -61,9 +62,9 @@
         "load",
         "failures",
         "order_lock",
-        "ended_at",
-        "_lives",
-        "_is_gone",
+        "last_ended_at",
+        "_ended_incarnations",
+        "_has_ended",
     )
 
     def __init__(
@@ -74,17 +75,17 @@
         self.lock = threading.Lock()
         self.load = agent_endpoint.EngineLoad()
         self.failures = MAX_LOAD_FAILURES
-        # When a run ended last; 0 before the first one.
-        self.ended_at = 0.0
-        # The present life of the endpoint, and whether it was seen to have ended.
-        self._lives = 0
-        self._is_gone = False
-        # Orders to one endpoint are carried out one after the other.
+        # When the last run ended; 0 before the first.
+        self.last_ended_at = 0.0
+        # How often the endpoint was found to have ended, and whether it has ended now.
+        self._ended_incarnations = 0
+        self._has_ended = False
+        # Serializes the orders to this endpoint.
         self.order_lock = threading.Lock()
 
     @property
     def versions(self) -> list[str]:
-        """The versions that the endpoint answers for now."""
+        """The versions that the endpoint can serve now."""
         if self.failures >= MAX_LOAD_FAILURES:
             return []
         if self.endpoint.is_backing_off:
@@ -92,11 +93,11 @@
         return self.endpoint.option.versions or self.load.versions
 
     def refresh(self) -> None:
-        """Read the endpoint's load report."""
+        """Update the state from the endpoint's load report."""
         try:
             self.load = self.endpoint.load()
             self.failures = 0
-            self._is_gone = False
+            self._has_ended = False
             with self.lock:
                 self.admission.hint(self.load.slots)
         except (urllib3.exceptions.HTTPError, msgspec.DecodeError):
@@ -105,19 +106,25 @@
                 eventlog.warning("endpoint-down", endpoint=self.endpoint.option.name)
 
     def ended_incarnation(self) -> str:
-        """Look whether the endpoint has ended, and name the life that did; or empty."""
-        if not self._is_gone:
-            if self.endpoint.takes_connections():
+        """Check whether the endpoint has ended.
+
+        :returns: the name of the incarnation that ended; empty when it still accepts
+            connections.
+        """
+        if not self._has_ended:
+            if self.endpoint.accepts_connections():
                 return ""
             with self.lock:
-                if not self._is_gone:
-                    self._is_gone = True
-                    self._lives += 1
-        return f"{self.endpoint.option.name}@{_START}.{self._lives}"
+                if not self._has_ended:
+                    self._has_ended = True
+                    self._ended_incarnations += 1
+        return (
+            f"{self.endpoint.option.name}@{_PROCESS_TOKEN}.{self._ended_incarnations}"
+        )
 
 
 class Gate:
-    """The endpoints of one agent; safe for all threads."""
+    """Admission and execution at the endpoints of one agent; thread-safe."""
 
     def __init__(
         self,
@@ -152,15 +159,18 @@
         self._idle = threading.Condition()
 
     def take(self, run: agent_run.Run) -> None:
-        """Check and admit a request; a refusal is posted at once."""
+        """Check a request, then start or queue it, or post its refusal at once."""
         try:
             slot = self._check(run.start)
-            self._offer(slot, run)
+            self._admit(slot, run)
         except errors.GaprockError as exc:
             self._refuse(run, exc)
 
     def cancel(self, run: agent_run.Run, is_superseded: bool = False) -> None:
-        """Nobody waits for the run any more."""
+        """Cancel a run whose answer is no longer wanted.
+
+        :param is_superseded: another attempt takes its place, so it is not billed.
+        """
         run.is_superseded = run.is_superseded or is_superseded
         run.cancel()
         slot = self.slots.get(run.start.endpoint)
@@ -169,10 +179,10 @@
         with slot.lock:
             dropped = slot.admission.drop(run.ticket)
         if dropped:
-            self._ended(run)
+            self._decrement_active(run)
 
     def expire(self) -> None:
-        """Refuse the queued requests that can no longer be in time."""
+        """Refuse the queued requests that cannot start in time any more."""
         for slot in self.slots.values():
             if not slot.admission.queued:
                 continue
@@ -181,17 +191,17 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait."""
+        """The number of queued requests."""
         return sum(slot.admission.queued for slot in self.slots.values())
 
     def loads(self) -> list[messages.EndpointLoad]:
-        """Give the state of each endpoint for the heartbeat."""
+        """Return the state of each endpoint for the agent's report."""
         return [self._load(name, slot) for name, slot in self.slots.items()]
 
     def drain(self, deadline: float) -> bool:
-        """Wait until nothing runs.
+        """Wait until no request is running or queued.
 
-        :returns: whether everything ended before the deadline.
+        :returns: whether that was so before the deadline.
         """
         with self._idle:
             return clock.wait_for(
@@ -199,7 +209,7 @@
             )
 
     def _check(self, start: messages.Start) -> Slot:
-        """Check a request against everything known here.
+        """Check a request against the configuration and this agent's state.
 
         :raises errors.GaprockError: a code of category *not run*.
         """
@@ -229,7 +239,7 @@
             )
         return slot
 
-    def _offer(self, slot: Slot, run: agent_run.Run) -> None:
+    def _admit(self, slot: Slot, run: agent_run.Run) -> None:
         start = run.start
         workspace = self._config.workspace(start.workspace)
         now = self._clock.now()
@@ -252,8 +262,10 @@
         if verdict.start:
             self._executor.submit(self._execute, slot, run)
         elif not verdict.queued:
-            self._ended(run)
-            detail = f"at {start.endpoint} {REASONS.get(verdict.reason, 'refused')}"
+            self._decrement_active(run)
+            detail = (
+                f"at {start.endpoint} {REFUSAL_DETAILS.get(verdict.reason, 'refused')}"
+            )
             raise errors.GaprockError(errorcodes.OVERLOADED, detail, verdict.retry_at)
 
     def _log_verdict(
@@ -281,37 +293,39 @@
             self._refuse(
                 run, errors.GaprockError(errorcodes.OVERLOADED, detail, retry_at)
             )
-            self._ended(run)
+            self._decrement_active(run)
 
     def _execute(self, slot: Slot, run: agent_run.Run) -> None:
-        """Run one request, then start those whose turn it is."""
+        """Run one request, then start the queued requests that may run now."""
         relay = agent_run.Relay(run, slot.endpoint, self._clock, self._cfg.max_resumes)
         try:
             end = relay.execute()
         except Exception as exc:
-            # The run's slot must come free whatever happens.
+            # Admission must learn of every end, or the place stays taken.
             eventlog.warning("run-failed", request=run.start.request, error=repr(exc))
             end = self._unknown_end(run)
         if isinstance(end, messages.End):
-            end = self._blame(slot, run, end)
-        self._conclude(run, end)
-        self._free(slot, run, end.code == errorcodes.ENDPOINT_REFUSED.number)
+            end = self._add_suspicion(slot, run, end)
+        self._finish_run(run, end)
+        self._release(slot, run, end.code == errorcodes.ENDPOINT_REFUSED.number)
 
-    def _blame(self, slot: Slot, run: agent_run.Run, end: messages.End) -> messages.End:
-        """Say in the end of a run whether its endpoint ended under it.
+    def _add_suspicion(
+        self, slot: Slot, run: agent_run.Run, end: messages.End
+    ) -> messages.End:
+        """Add to the end of a run which incarnation of its endpoint ended during it.
 
-        Guards against a request that ends each endpoint that runs it, one after the
-        other, through all entries.
+        This limits a poison request, which would crash one endpoint after the other,
+        through all entries.
         """
         if end.code not in CUT_CODES:
             return end
         begun_s = -1.0
         if run.first_s >= 0:
             begun_s = self._clock.now() - run.called_at - run.first_s
-        # What has to wait does so here, so that what an endpoint has, it runs.
+        # Requests queue here rather than at the endpoint, so it was running this one.
         weight = quarantine.suspicion_weight(begun_s, may_wait=False)
-        life = slot.ended_incarnation() if weight else ""
-        if not life:
+        incarnation = slot.ended_incarnation() if weight else ""
+        if not incarnation:
             return end
         eventlog.info(
             "request-suspected",
@@ -320,9 +334,11 @@
             endpoint=run.start.endpoint,
             weight=weight,
         )
-        return msgspec.structs.replace(end, ended_incarnation=life, weight=weight)
+        return msgspec.structs.replace(
+            end, ended_incarnation=incarnation, weight=weight
+        )
 
-    def _conclude(
+    def _finish_run(
         self, run: agent_run.Run, end: messages.End | messages.Refused
     ) -> None:
         if (
@@ -341,19 +357,19 @@
             first_ms=run.first_s * 1000,
         )
 
-    def _free(self, slot: Slot, run: agent_run.Run, refused: bool) -> None:
+    def _release(self, slot: Slot, run: agent_run.Run, refused: bool) -> None:
         assert run.ticket is not None
-        # A whole answer's time tells of its length rather than of the load.
+        # The time to an unstreamed answer depends on its length more than on the load.
         first_s = run.first_s if run.start.stream else -1.0
         result = policy_api.RunResult(first_s, refused)
         with slot.lock:
-            now = slot.ended_at = self._clock.now()
+            now = slot.last_ended_at = self._clock.now()
             started = slot.admission.finished(run.ticket, result, now)
             self._refuse_expired(slot, now)
         for ticket in started:
             next_run = typing.cast(agent_run.Run, ticket.attempt)
             self._executor.submit(self._execute, slot, next_run)
-        self._ended(run)
+        self._decrement_active(run)
 
     def _unknown_end(self, run: agent_run.Run) -> messages.End:
         code = errorcodes.OUTCOME_UNKNOWN.number
@@ -368,7 +384,7 @@
             )
         )
 
-    def _ended(self, run: agent_run.Run) -> None:
+    def _decrement_active(self, run: agent_run.Run) -> None:
         with self._idle:
             self._active -= 1
             self._idle.notify_all()
@@ -388,11 +404,11 @@
         )
 
     def _service_s(self, slot: Slot) -> float:
-        """Give the mean time of a run, forgotten while none ends.
+        """Return the mean time of a run; it decays while no run ends.
 
-        An endpoint without runs reports 0, so that it gets some.
+        An endpoint that has had no run reports 0, so that it is sent some.
         """
-        if not slot.ended_at:
+        if not slot.last_ended_at:
             return 0.0
-        idle_s = self._clock.now() - slot.ended_at
+        idle_s = self._clock.now() - slot.last_ended_at
         return slot.admission.service_s * math.exp2(-idle_s / SERVICE_HALF_LIFE_S)
--- a/gaprock/agent_hub.py
+++ b/gaprock/agent_hub.py
@@ -1,7 +1,8 @@
-"""An agent's port for entries: one socket, one thread.
+"""The agent's connection to the entries: one socket, served by one thread.
 
-The thread hands arriving messages to the gate, and sends what runs have posted:
-all that waits goes out together, the parts for one entry in one message.
+The thread passes arriving messages to the gate and sends the messages that runs
+have posted.  All queued messages are sent together, and the parts for one entry
+are joined into one message.
 """
 
 import functools
@@ -30,54 +31,62 @@
 )
 
 READ_BURST: typing.Final = 200
-# While requests wait, their deadlines are looked at this often, seconds.
-EXPIRE_S: typing.Final = 0.02
-# Attempt numbers remembered per entry, to know a request that never came.
-MAX_SEEN: typing.Final = 20_000
-# An entry that was silent for this long is forgotten, seconds.
+# Interval at which the deadlines of queued requests are checked.
+EXPIRE_INTERVAL_S: typing.Final = 0.02
+# Attempt numbers kept per entry, to recognize a request that never arrived.
+MAX_SEEN_ATTEMPTS: typing.Final = 20_000
+# An entry without open requests is forgotten after this long a silence.
 FORGET_S: typing.Final = 60.0
-# Reports name the entries when one has a new revision, else only each so many times:
-# their names are most of a report's bytes.
-NAME_ENTRIES_EVERY: typing.Final = 10
+# A report lists the entries when one joined, left or changed its revision, otherwise
+# only once in this many reports: the list is most of a report's bytes.
+REPORTS_PER_ENTRY_LIST: typing.Final = 10
 
 Outgoing = messages.Message | messages.Part
 
 
 class Peer:
-    """One entry process."""
-
-    __slots__ = ("identity", "beat", "heard_at", "runs", "seen", "gone", "new")
+    """One entry process, as this agent sees it."""
+
+    __slots__ = (
+        "identity",
+        "beat",
+        "heard_at",
+        "runs",
+        "seen",
+        "is_silent",
+        "needs_full_report",
+    )
 
     def __init__(self, identity: bytes) -> None:
         self.identity = identity
         self.beat: messages.Beat | None = None
         self.heard_at = 0.0
-        # Requests that the entry has not done with.
+        # Requests whose end the entry has not acknowledged, by attempt number.
         self.runs: dict[int, agent_run.Run] = {}
-        # Every attempt number that came, in order.
+        # The attempt numbers that arrived last, in order of arrival.
         self.seen: dict[int, None] = {}
-        # Whether it was silent for so long that its requests were cancelled.
-        self.gone = False
-        # Whether it needs all evidence rather than what changed.
-        self.new = True
+        # Whether its requests were cancelled after a long silence.
+        self.is_silent = False
+        # Whether its next report must hold all evidence rather than the changes.
+        self.needs_full_report = True
 
     @property
     def name(self) -> str:
         """The entry's identity as text."""
         return self.identity.decode("utf-8", "replace")
 
-    def note(self, attempt: int) -> bool:
-        """Remember an attempt's number; false when it came before."""
+    def record_attempt(self, attempt: int) -> bool:
+        """Record an attempt number; return whether it is new."""
         if attempt in self.seen:
             return False
         self.seen[attempt] = None
-        if len(self.seen) > MAX_SEEN:
+        if len(self.seen) > MAX_SEEN_ATTEMPTS:
             del self.seen[next(iter(self.seen))]
         return True
 
 
 class Hub:
-    """The port for entries."""
+    """Exchanges messages with the entries."""
 
     def __init__(
         self,
@@ -96,8 +105,8 @@
         self._bills = bills_
         self._incarnation = incarnation
         self._quarantine = quarantine_
-        # When all requests that are held were last told.
-        self._held_told_at = -clock.NEVER
+        # When a report last listed every held request.
+        self._held_sent_at = -clock.NEVER
         self.context: zmq.Context[typing.Any] = zmq.Context()
         self._mailbox: mailbox.Mailbox[tuple[bytes, Outgoing]] = mailbox.Mailbox()
         self._peers: dict[bytes, Peer] = {}
@@ -106,8 +115,9 @@
         self.port = cfg.agent_port
         self._report_at = 0.0
         self._evidence_tick = 0
-        # The entries' revisions as they were reported last, and reports since.
-        self._reported: dict[str, int] = {}
+        # The entries' revisions in the last report that listed them, and the number of
+        # reports since.
+        self._reported_revisions: dict[str, int] = {}
         self._reports_since = 0
         self._stopped = False
         self._thread = threading.Thread(target=self._run, name="hub", daemon=True)
@@ -116,7 +126,7 @@
     # -- For other threads --
 
     def start(self) -> None:
-        """Bind the port and serve in the background."""
+        """Bind the port and start the thread."""
         if self._cfg.agent_port:
             self._sock.bind(f"tcp://{self._cfg.host}:{self._cfg.agent_port}")
         else:
@@ -124,7 +134,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Send what waits and close the port."""
+        """Send all queued messages and close the port."""
         self._stopped = True
         self.post(b"", messages.ConfigWanted(0))
         self._thread.join()
@@ -132,22 +142,22 @@
         self.context.term()
 
     def post(self, identity: bytes, msg: Outgoing) -> None:
-        """Send a message to an entry."""
+        """Queue a message to an entry; an empty identity only wakes the thread."""
         self._mailbox.put((identity, msg))
 
     def report_now(self) -> None:
-        """Send a heartbeat without waiting for its time."""
+        """Send a report to all entries at once."""
         self._report_at = 0.0
         self.post(b"", messages.ConfigWanted(0))
 
     def bills_written(self, owner: str, keys: list[str]) -> None:
-        """Tell the other holder that bills are in the table."""
+        """Tell the other holder of bills that they are in the table."""
         self.post(owner.encode(), messages.BillsReleased(keys))
 
     def hand_over(self, held: list[messages.Bill]) -> bool:
-        """Hand bills to the entries that were heard last.
+        """Hand bills over to the entries that were heard from most recently.
 
-        :returns: false when there is none.
+        :returns: whether there is such an entry.
         """
         peers = sorted(self._live_peers(), key=lambda p: p.heard_at, reverse=True)
         for peer in peers[: bills.HANDOVER_COPIES]:
@@ -156,7 +166,7 @@
 
     @property
     def open_runs(self) -> int:
-        """Requests whose answer an entry has not taken whole yet."""
+        """The number of requests whose end a live entry has not acknowledged."""
         return sum(len(peer.runs) for peer in self._live_peers())
 
     # -- The hub's own thread --
@@ -166,28 +176,28 @@
         poller.register(self._sock, zmq.POLLIN)
         poller.register(self._mailbox.fileno(), zmq.POLLIN)
         while not self._stopped:
-            poller.poll(math.ceil(self._pause_s() * 1000))
+            poller.poll(math.ceil(self._poll_timeout_s() * 1000))
             self._read_waiting()
             self._send_waiting()
             if self.gate.queued:
                 self.gate.expire()
             if self._clock.now() >= self._report_at:
-                self._tick()
+                self._send_reports()
         self._send_waiting()
         self._sock.close(linger=500)
 
-    def _pause_s(self) -> float:
+    def _poll_timeout_s(self) -> float:
         left = clock.remaining(self._report_at, self._clock)
-        return min(left, EXPIRE_S) if self.gate.queued else left
+        return min(left, EXPIRE_INTERVAL_S) if self.gate.queued else left
 
     def _send_waiting(self) -> None:
-        """Send all that waits, joining the parts for each entry."""
+        """Send all queued messages, joining the parts for each entry."""
         parts: dict[bytes, list[messages.Part]] = {}
         for identity, msg in self._mailbox.drain():
             if isinstance(msg, messages.Part):
                 parts.setdefault(identity, []).append(msg)
                 continue
-            # An end must not overtake its parts.
+            # The end of an answer must not be sent before its parts.
             if identity in parts:
                 self._send(identity, messages.Parts(parts.pop(identity)))
             if identity:
@@ -202,7 +212,7 @@
         try:
             self._sock.send_multipart([identity, data], zmq.NOBLOCK)
         except zmq.ZMQError as exc:
-            # The entry is not connected; it asks again when it is back.
+            # The entry is not connected; it sends ``Resume`` when it reconnects.
             eventlog.debug("send-failed", peer=identity, error=exc)
 
     def _read_waiting(self) -> None:
@@ -226,27 +236,27 @@
             peer = self._peers[frames[0]] = Peer(frames[0])
             self._report_at = 0.0
         peer.heard_at = self._clock.now()
-        peer.gone = False
+        peer.is_silent = False
         try:
             self.handle(msg, peer)
         except Exception as exc:
-            # One message must not close the port for all entries.
+            # A fault in handling one message must not stop the service for all entries.
             kind = type(msg).__name__
             eventlog.warning("handler-failed", kind=kind, error=repr(exc))
 
-    # -- Heartbeats --
+    # -- Reports --
 
-    def _tick(self) -> None:
+    def _send_reports(self) -> None:
         now = self._clock.now()
         self._report_at = now + self._cfg.beat_s
-        self._look_after_peers(now)
+        self._check_peers(now)
         tick, changed = self._evidence.since(self._evidence_tick)
         self._evidence_tick = tick
         known = self._known_entries()
         data = messages.encode(self._report(changed, known))
         for peer in self._live_peers():
-            if peer.new:
-                peer.new = False
+            if peer.needs_full_report:
+                peer.needs_full_report = False
                 full = self._report(self._evidence.since(0)[1], known)
                 self._send(peer.identity, full)
             else:
@@ -270,15 +280,15 @@
         )
 
     def _suspects(self) -> list[quarantine.SuspectUpdate]:
-        """Give the suspected requests that one entry told, for the others."""
+        """Return the suspected requests reported by an entry, for the others."""
         now = self._clock.now()
-        include_held = now >= self._held_told_at + quarantine.HELD_RESEND_S
+        include_held = now >= self._held_sent_at + quarantine.HELD_RESEND_S
         if include_held:
-            self._held_told_at = now
+            self._held_sent_at = now
         return self._quarantine.news((quarantine.Origin.NEAR,), include_held)
 
     def _known_entries(self) -> list[messages.Known]:
-        """Give the entries' revisions if they are due in this report."""
+        """Return the entries' revisions if this report is to list them."""
         known = [
             messages.Known(peer.name, peer.beat.revision, peer.heard_at)
             for peer in self._live_peers()
@@ -286,10 +296,10 @@
         ]
         revisions = {entry.process: entry.revision for entry in known}
         self._reports_since += 1
-        due = self._reports_since >= NAME_ENTRIES_EVERY
-        if revisions == self._reported and not due:
+        due = self._reports_since >= REPORTS_PER_ENTRY_LIST
+        if revisions == self._reported_revisions and not due:
             return []
-        self._reported = revisions
+        self._reported_revisions = revisions
         self._reports_since = 0
         return known
 
@@ -297,42 +307,45 @@
         since = self._clock.now() - self._cfg.silent_s
         return [peer for peer in list(self._peers.values()) if peer.heard_at >= since]
 
-    def _look_after_peers(self, now: float) -> None:
-        """Cancel what silent entries had asked for, and write their bills."""
+    def _check_peers(self, now: float) -> None:
+        """Cancel the requests of silent entries and let their bills be written.
+
+        Entries that stay silent for longer are forgotten.
+        """
         for peer in list(self._peers.values()):
             silent_s = now - peer.heard_at
             self._resend_ends(peer, now)
-            if silent_s > self._cfg.stream_silent_s and not peer.gone:
-                peer.gone = True
-                self._peer_gone(peer)
+            if silent_s > self._cfg.stream_silent_s and not peer.is_silent:
+                peer.is_silent = True
+                self._cancel_runs(peer)
             if silent_s > self._cfg.bill_patience_s:
-                self._bills.release_owner(peer.name, now)
+                self._bills.schedule_bills_of(peer.name, now)
             if silent_s > FORGET_S and not peer.runs:
                 del self._peers[peer.identity]
 
     def _resend_ends(self, peer: Peer, now: float) -> None:
-        """Post ends again that were not acknowledged: the word may be lost."""
+        """Post ends that were not acknowledged again: a message may have been lost."""
         for run in list(peer.runs.values()):
-            run.remind(now - self._cfg.silent_s)
+            run.resend_end(now - self._cfg.silent_s)
 
-    def _peer_gone(self, peer: Peer) -> None:
+    def _cancel_runs(self, peer: Peer) -> None:
         eventlog.warning("entry-silent", entry=peer.name, runs=len(peer.runs))
         for run in peer.runs.values():
             self.gate.cancel(run)
         peer.runs.clear()
-        peer.new = True
+        peer.needs_full_report = True
 
-    # -- Arriving messages, with their sender --
+    # -- Arriving messages --
 
     @functools.singledispatchmethod
     def handle(self, msg: messages.Message, peer: Peer) -> None:
-        """Take one message from an entry."""
+        """Handle one message from an entry."""
         eventlog.warning("unexpected", peer=peer.name, kind=type(msg).__name__)
 
     @handle.register
     def _(self, msg: messages.Beat, peer: Peer) -> None:
         peer.beat = msg
-        self.orders.note_epoch(msg.epoch)
+        self.orders.record_epoch(msg.epoch)
         self._evidence.merge(msg.evidence)
         self._quarantine.take(msg.suspects, is_far=False)
         if self._config.add_urgent(msg.urgent):
@@ -342,7 +355,7 @@
 
     @handle.register
     def _(self, msg: messages.Start, peer: Peer) -> None:
-        if not peer.note(msg.attempt):
+        if not peer.record_attempt(msg.attempt):
             return
         run = agent_run.Run(peer.identity, msg, self.post, self._clock)
         peer.runs[msg.attempt] = run
@@ -399,7 +412,7 @@
         del self._peers[peer.identity]
         for run in peer.runs.values():
             self.gate.cancel(run)
-        self._bills.release_owner(peer.name, self._clock.now())
+        self._bills.schedule_bills_of(peer.name, self._clock.now())
 
     @handle.register
     def _(self, msg: messages.Order, peer: Peer) -> None:
@@ -411,13 +424,13 @@
         ).start()
 
     def _answer_unknown(self, msg: messages.Resume, peer: Peer) -> None:
-        """Answer for an attempt that is not here.
+        """Answer a ``Resume`` for an attempt that has no run here.
 
-        Messages of one connection stay in order, so if this same process has not
-        seen the request before its ``Resume``, the request was lost on the way.
-        Noting the number makes sure that a straggler is not run after all.
+        Messages of one connection stay in order.  So if the request was sent to this
+        same process and did not arrive before its ``Resume``, it was lost on the way.
+        Recording the number ensures that it is not run if it arrives after all.
         """
-        never_came = peer.note(msg.attempt)
+        never_came = peer.record_attempt(msg.attempt)
         if never_came and msg.incarnation == self._incarnation:
             code = errorcodes.ENDPOINT_UNREACHABLE.number
             refused = messages.Refused(msg.attempt, code, "lost on the way", 0.0)
--- a/gaprock/agent_main.py
+++ b/gaprock/agent_main.py
@@ -1,9 +1,9 @@
-"""``gaprock-agent``: the last gate before the endpoints of one VM.
+"""``gaprock-agent``: admission and relay for the endpoints of one VM.
 
-It takes requests from entries, admits or refuses them, relays the answers and
-carries out fenced orders.  A planned stop says *leaving* to every entry at once,
-refuses new work, lets what runs end and be taken, parts with unwritten bills,
-and exits.
+It accepts requests from entries, admits or refuses them, relays the answers and
+carries out fenced orders.  A planned stop reports *leaving* to every entry at once,
+refuses new requests, waits until the running and queued ones have ended and their
+ends are acknowledged, writes the remaining bills or hands them over, and exits.
 """
 
 import sys
@@ -35,13 +35,14 @@
     "Stands before the endpoints of one VM: checks and admits requests from "
     "entries, relays answers, and carries out fenced orders."
 )
-# Agents read the table this many times less often than entries: entries tell them.
+# Agents read the table this many times less often than entries, as entries also send
+# them the configuration.
 POLL_FACTOR: typing.Final = 5
-TAKEN_POLL_S: typing.Final = 0.05
+ACK_POLL_S: typing.Final = 0.05
 
 
 class Agent:
-    """One agent process: its parts and its background tasks."""
+    """One agent process: its components and its background tasks."""
 
     def __init__(
         self,
@@ -96,7 +97,7 @@
             task.start()
 
     def stop(self) -> None:
-        """Carry out a planned stop; no request in flight is cut."""
+        """Carry out a planned stop; requests in flight have ``drain_s`` to end."""
         self.gate.leaving = True
         self.hub.report_now()
         eventlog.info("leaving", running=self.hub.open_runs)
@@ -127,17 +128,20 @@
         self.quarantine.forget_old()
 
     def _wait_acknowledged(self, deadline: float) -> bool:
-        """Wait until live entries have taken the ends of all answers."""
+        """Wait until live entries have acknowledged the ends of all answers.
+
+        :returns: whether they did so before the deadline.
+        """
         while self.hub.open_runs:
             if self.clock.now() >= deadline:
                 return False
-            threading.Event().wait(TAKEN_POLL_S)
+            threading.Event().wait(ACK_POLL_S)
         return True
 
     def _flush_bills(self) -> None:
-        """Write the last bills, or hand them to an entry while the table is down."""
+        """Write the remaining bills; hand them to entries if the table is down."""
         for owner in self.bills.owners():
-            self.bills.release_owner(owner, self.clock.now())
+            self.bills.schedule_bills_of(owner, self.clock.now())
         try:
             self._write_bills()
         except services_api.PlatformError as exc:
@@ -149,12 +153,12 @@
 
 
 def make(cfg: options.Options) -> Agent:
-    """Make an agent with the platform's services."""
+    """Create an agent with the platform's services."""
     return Agent(cfg, services_api.connect(cfg))
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; give its exit code."""
+    """Run the program and return its exit code."""
     return daemon.main(options_flags.AGENT, DESCRIPTION, make, argv)
 
 
--- a/gaprock/agent_orders.py
+++ b/gaprock/agent_orders.py
@@ -1,9 +1,9 @@
-"""Fenced orders: an agent carries out no order of a control holder that lapsed.
+"""Fencing of orders: an agent refuses those of a former holder of the control lease.
 
-Not every endpoint checks who gives it an order, so the agent does: it keeps the
-highest epoch it has seen, and asks the lease's row in the table before each
-order.  While the table is down it goes by what it has seen, and a new process
-that has not seen the row yet carries out nothing.
+Not every endpoint checks the epoch of an order, so the agent does.  It keeps the
+highest epoch that it has seen, and reads the lease's row in the table before each
+order.  While the table is down it uses the highest epoch seen so far; a process
+that has not read the row since its start refuses all orders.
 """
 
 import threading
@@ -23,31 +23,31 @@
 
 
 class Orders:
-    """The order desk of one agent; safe for all threads."""
+    """Carries out the orders to the endpoints of one agent; thread-safe."""
 
-    __slots__ = ("_table", "_gate", "_lock", "epoch", "_confirmed")
+    __slots__ = ("_table", "_gate", "_lock", "epoch", "_has_read_lease")
 
     def __init__(self, table: services_api.Table, gate: agent_gate.Gate) -> None:
         self._table = table
         self._gate = gate
         self._lock = threading.Lock()
-        # The highest epoch seen in any message, order or the table.
+        # The highest epoch seen in a heartbeat, in an order or in the table.
         self.epoch = 0
         # Whether this process has read the lease's row since it started.
-        self._confirmed = False
+        self._has_read_lease = False
 
-    def note_epoch(self, epoch: int) -> None:
-        """Learn an epoch from a heartbeat."""
+    def record_epoch(self, epoch: int) -> None:
+        """Record the epoch of a heartbeat."""
         with self._lock:
             self.epoch = max(self.epoch, epoch)
 
     def carry_out(self, order: messages.Order) -> messages.OrderDone:
-        """Carry an order out, or refuse it; the endpoint may take its time."""
+        """Carry out an order or refuse it; block until the endpoint has answered."""
         try:
             self._check(order)
             slot = self._slot(order)
             with slot.order_lock:
-                # Another order may have come with a newer epoch meanwhile.
+                # A higher epoch may have been seen while the order waited for the lock.
                 self._check(order)
                 slot.endpoint.order(order.action, order.version, order.epoch)
             slot.refresh()
@@ -58,13 +58,14 @@
         return messages.OrderDone(order.order, errorcodes.OK, "")
 
     def _check(self, order: messages.Order) -> None:
-        """Refuse an order that is not from the newest known holder.
+        """Check that an order has no lower epoch than the highest seen.
 
-        :raises errors.GaprockError: ``FENCED`` or ``NOT_READY``.
+        :raises errors.GaprockError: ``FENCED`` when its epoch is lower, ``NOT_READY``
+            when this process has never read the lease's row.
         """
-        self._ask_table()
+        self._read_lease_epoch()
         with self._lock:
-            if not self._confirmed:
+            if not self._has_read_lease:
                 raise errors.GaprockError(
                     errorcodes.NOT_READY, "the control epoch is not known yet"
                 )
@@ -74,13 +75,13 @@
                 )
             self.epoch = order.epoch
 
-    def _ask_table(self) -> None:
+    def _read_lease_epoch(self) -> None:
         try:
             row = self._table.read([lease.KEY])[0]
         except services_api.PlatformError:
             return
         with self._lock:
-            self._confirmed = True
+            self._has_read_lease = True
             if row.value is not None:
                 self.epoch = max(self.epoch, int(row.value["epoch"]))
 
--- a/gaprock/agent_run.py
+++ b/gaprock/agent_run.py
@@ -1,9 +1,9 @@
-"""One request at an agent: the relay from the endpoint to the entry.
+"""One request at an agent, and the relay of its answer to the entry.
 
-1. Call the endpoint; before that moment every failure is *not run*.
+1. Call the endpoint; any failure before the call is *not run*.
 2. Number the parts and post them, as far as the entry's window allows.
-3. Keep each part until the entry has acknowledged it, for a ``Resume``.
-4. Take a stream that broke up again at the next part, a few times.
+3. Keep each part until the entry has acknowledged it, in case of a ``Resume``.
+4. Resume a broken stream at the next part, up to ``max_resumes`` times.
 5. Post the end with the number of parts and the bill.
 """
 
@@ -24,20 +24,20 @@
     policy_api,
 )
 
-# Posts a message to an entry's connection.
+# Queues a message for the entry with the given identity.
 Post = typing.Callable[[bytes, messages.Message | messages.Part], None]
 
-# Parts joined into one message, as a share of the window.
-JOIN_SHARE: typing.Final = 4
+# A message joins at most ``window // MESSAGES_PER_WINDOW`` parts, and at least one.
+MESSAGES_PER_WINDOW: typing.Final = 4
 ERROR_STATUS: typing.Final = 500
 
 
 class Cancelled(Exception):
-    """The entry no longer waits for the answer."""
+    """The entry no longer wants the answer."""
 
 
 class Run:
-    """The request's state on the way back to its entry; safe for all threads."""
+    """The state of a request and of its answer; thread-safe."""
 
     __slots__ = (
         "peer",
@@ -45,11 +45,11 @@
         "_post",
         "_clock",
         "_cond",
-        "_kept",
+        "_unacked",
         "_acked",
         "_next",
         "_end",
-        "ended_at",
+        "end_posted_at",
         "cancelled",
         "is_superseded",
         "called_at",
@@ -65,19 +65,19 @@
         self._post = post
         self._clock = clock_
         self._cond = threading.Condition()
-        # Parts that were posted and not acknowledged.
-        self._kept: collections.deque[messages.Part] = collections.deque()
+        # Parts that were posted but not acknowledged.
+        self._unacked: collections.deque[messages.Part] = collections.deque()
         self._acked = 0
         self._next = 0
         self._end: messages.End | messages.Refused | None = None
-        # When the end was posted last; 0 before.
-        self.ended_at = 0.0
+        # When the end was last posted; 0 before that.
+        self.end_posted_at = 0.0
         self.cancelled = False
-        # Another attempt took this one's place: it is not billed.
+        # Whether another attempt took the place of this one, which is then not billed.
         self.is_superseded = False
-        # When the endpoint was called; 0 before.
+        # When the endpoint was called; 0 before that.
         self.called_at = 0.0
-        # Seconds from then to the first part; below 0 before.
+        # Seconds from ``called_at`` to the first part; negative before it.
         self.first_s = -1.0
         self.ticket: policy_api.Ticket | None = None
 
@@ -88,78 +88,83 @@
 
     @property
     def count(self) -> int:
-        """Parts given so far."""
+        """The number of parts posted so far."""
         return self._next
 
     @property
     def ended(self) -> bool:
-        """Whether the end was posted."""
+        """Whether the end has been posted."""
         return self._end is not None
 
     def give(self, data: bytes, count: int) -> None:
-        """Post parts once the window allows.
+        """Post parts; block while the entry's window is full.
 
-        :raises Cancelled: when nobody waits for them any more.
-        :raises errors.GaprockError: ``DEADLINE_RUNNING``.
+        :param data: the parts, joined.
+        :param count: the number of parts in ``data``.
+        :raises Cancelled: when the answer is no longer wanted.
+        :raises errors.GaprockError: ``DEADLINE_RUNNING`` when the window stays full
+            until the deadline.
         """
         with self._cond:
             deadline = self.start.deadline
-            if not clock.wait_for(self._cond, self._may_give, deadline, self._clock):
+            if not clock.wait_for(self._cond, self._may_post, deadline, self._clock):
                 raise errors.GaprockError(errorcodes.DEADLINE_RUNNING)
             if self.cancelled:
                 raise Cancelled
             part = messages.Part(self.start.attempt, self._next, count, data)
-            self._kept.append(part)
+            self._unacked.append(part)
             self._next += count
             self._post(self.peer, part)
 
     def finish(self, end: messages.End | messages.Refused) -> None:
-        """Post the end."""
+        """Post the end, unless one was posted already."""
         with self._cond:
             if self._end is None:
                 self._end = end
-                self.ended_at = self._clock.now()
+                self.end_posted_at = self._clock.now()
                 self._post(self.peer, end)
 
     def ack(self, upto: int) -> None:
-        """The entry has taken all parts below ``upto``."""
+        """Forget the parts below ``upto``, which the entry has acknowledged."""
         with self._cond:
-            while self._kept and self._kept[0].seq + self._kept[0].count <= upto:
-                self._kept.popleft()
+            while (
+                self._unacked and self._unacked[0].seq + self._unacked[0].count <= upto
+            ):
+                self._unacked.popleft()
             self._acked = max(self._acked, upto)
             self._cond.notify_all()
 
     def resend(self, upto: int) -> None:
-        """Post again what the entry lacks.
+        """Post the kept parts from ``upto`` on, and the end, again.
 
-        This does not acknowledge: the caller may not have taken those parts.
+        The parts below ``upto`` are kept: the caller may not have read them yet.
         """
         with self._cond:
-            for part in self._kept:
+            for part in self._unacked:
                 if part.seq >= upto:
                     self._post(self.peer, part)
             if self._end is not None:
                 self._post(self.peer, self._end)
 
-    def remind(self, before: float) -> None:
-        """Post the end again if that was last done before a time."""
+    def resend_end(self, before: float) -> None:
+        """Post the end again if it was last posted before the given time."""
         with self._cond:
-            if self._end is not None and self.ended_at < before:
-                self.ended_at = self._clock.now()
+            if self._end is not None and self.end_posted_at < before:
+                self.end_posted_at = self._clock.now()
                 self._post(self.peer, self._end)
 
     def cancel(self) -> None:
-        """Nobody waits any more."""
+        """Stop the run: its answer is no longer wanted."""
         with self._cond:
             self.cancelled = True
             self._cond.notify_all()
 
-    def _may_give(self) -> bool:
+    def _may_post(self) -> bool:
         return self.cancelled or self._next - self._acked < self.start.window
 
 
 class Relay:
-    """Runs one request at one endpoint, on a thread of its own."""
+    """Calls the endpoint for one request and relays the answer."""
 
     __slots__ = ("_run", "_endpoint", "_clock", "_max_resumes", "_stream_id")
 
@@ -177,7 +182,7 @@
         self._stream_id = ""
 
     def execute(self) -> messages.End | messages.Refused:
-        """Run the request and give its end, which is not posted yet."""
+        """Run the request and return its end, without posting it."""
         run, start = self._run, self._run.start
         if run.cancelled:
             return self._refused(errors.GaprockError(errorcodes.LEAVING))
@@ -202,7 +207,7 @@
         answer = self._endpoint.call(
             start.path, start.body, start.request, start.deadline, start.repeatable
         )
-        self._note_first()
+        self._record_first_part()
         if answer.status >= ERROR_STATUS:
             code = errorcodes.ENDPOINT_ERROR
             if self._endpoint.option.kind == "service":
@@ -223,21 +228,21 @@
         resumes = 0
         while not self._relay_until_break(stream):
             resumes += 1
-            stream = self._take_up(resumes)
+            stream = self._resume_stream(resumes)
         return self._end(None, "", 200, "text/event-stream")
 
     def _relay_until_break(self, stream: agent_endpoint.EndpointStream) -> bool:
-        """Relay what comes; give whether the stream came to its end mark."""
-        most = max(1, self._run.start.window // JOIN_SHARE)
+        """Relay parts until the stream ends; return whether it is complete."""
+        max_parts = max(1, self._run.start.window // MESSAGES_PER_WINDOW)
         try:
             while events := self._read(stream):
-                self._note_first()
-                for i in range(0, len(events), most):
-                    some = events[i : i + most]
-                    self._run.give(b"".join(some), len(some))
+                self._record_first_part()
+                for i in range(0, len(events), max_parts):
+                    batch = events[i : i + max_parts]
+                    self._run.give(b"".join(batch), len(batch))
         finally:
             stream.close()
-        return stream.whole
+        return stream.is_complete
 
     def _read(self, stream: agent_endpoint.EndpointStream) -> list[bytes]:
         if self._run.cancelled:
@@ -249,10 +254,11 @@
         except (urllib3.exceptions.HTTPError, OSError):
             return []
 
-    def _take_up(self, resumes: int) -> agent_endpoint.EndpointStream:
-        """Take up a stream that broke at the next part.
+    def _resume_stream(self, resumes: int) -> agent_endpoint.EndpointStream:
+        """Resume a broken stream at the next part.
 
-        :raises errors.GaprockError: ``STREAM_CUT``.
+        :param resumes: the number of this resumption, from 1.
+        :raises errors.GaprockError: ``STREAM_CUT`` when it cannot be resumed.
         """
         start = self._run.start
         cut = errors.GaprockError(
@@ -272,7 +278,7 @@
         if self._stream_id:
             self._endpoint.cancel(self._stream_id)
 
-    def _note_first(self) -> None:
+    def _record_first_part(self) -> None:
         if self._run.first_s < 0:
             self._run.first_s = self._clock.now() - self._run.called_at
 
@@ -303,7 +309,7 @@
         )
 
     def _bill(self, code: int, parts: int) -> messages.Bill | None:
-        """Make the bill; an attempt that gave no part is not billed."""
+        """Create the bill; ``None`` when no attempt has parts to bill."""
         start = self._run.start
         if not parts and not start.earlier_lines:
             return None
--- a/gaprock/bills.py
+++ b/gaprock/bills.py
@@ -1,9 +1,9 @@
-"""Bills: held by the entry and by the agent until they are in the table.
+"""Bills, which the entry and the agent both hold until they are in the table.
 
-A bill is a row that is inserted if it is absent, so writing it twice is
-harmless.  The entry writes; an agent writes only once the entry that sent it
-the request is gone.  Where both have written, one row stays: the entry's goes
-before an agent's, and of two agents' bills the one with more lines stays.
+A bill is a row that is inserted only if it is absent, so writing it twice is
+harmless.  The entry writes it; an agent does so only once the entry that sent the
+request is gone.  When both write, one row remains: an entry's bill replaces an
+agent's, and of two agents' bills the one with more lines remains.
 """
 
 import threading
@@ -15,22 +15,26 @@
 
 KEY: typing.Final = "bill/"
 BATCH: typing.Final = 100
-# A process that stops hands its bills to so many others: any of them may be gone
-# without a word, and writing a bill twice is harmless.
+# A process that stops hands its bills over to this many others: any of them may have
+# died unnoticed, and writing a bill twice is harmless.
 HANDOVER_COPIES: typing.Final = 3
-# ... and waits this long for one of them to say that it has them, seconds.
+# Time limit for the acknowledgement of a handover by one of the receivers.
 HANDOVER_S: typing.Final = 1.0
 ENTRY: typing.Final = "entry"
 AGENT: typing.Final = "agent"
 
 
 def key_of(workspace: str, request: str, digest: str) -> str:
-    """Give a bill's key: the body's digest keeps a reused id from being free."""
+    """Return the key of a bill.
+
+    It has the digest of the body, so that a request with a reused id and another
+    body is billed too.
+    """
     return f"{workspace}/{request}/{digest}"
 
 
-class Held:
-    """A bill that is not known to be in the table."""
+class HeldBill:
+    """A bill that may not be in the table yet."""
 
     __slots__ = ("bill", "owners", "write_at")
 
@@ -38,17 +42,17 @@
         self, bill: messages.Bill, owners: typing.Sequence[str], write_at: float
     ) -> None:
         self.bill = bill
-        # The processes that hold the other copies.
+        # The processes that hold a copy of the bill.
         self.owners = owners
-        # When to write it, unless the other side has.
+        # When to write it, if no other holder has written it by then.
         self.write_at = write_at
 
 
 class BillBuffer:
-    """The unwritten bills of one process; safe for all threads.
+    """The bills of one process that are not written yet; thread-safe.
 
-    :param by: ``ENTRY`` or ``AGENT``; the writer's rank.
-    :param capacity: bills beyond which ``is_full`` is true.
+    :param by: ``ENTRY`` or ``AGENT``; decides whose bill remains in the table.
+    :param capacity: number of bills from which ``is_full`` is true.
     """
 
     __slots__ = (
@@ -57,7 +61,7 @@
         "_capacity",
         "_clock",
         "_lock",
-        "_dropped",
+        "_forgotten",
         "_held",
         "written",
     )
@@ -74,8 +78,8 @@
         self._capacity = capacity
         self._clock = clock_
         self._lock = threading.Lock()
-        self._dropped = threading.Condition(self._lock)
-        self._held: dict[str, Held] = {}
+        self._forgotten = threading.Condition(self._lock)
+        self._held: dict[str, HeldBill] = {}
         # Called with (owner, keys) once bills are in the table.
         self.written: typing.Callable[[str, list[str]], None] | None = None
 
@@ -90,19 +94,28 @@
     def hold(
         self, bill: messages.Bill, owners: typing.Sequence[str], write_at: float
     ) -> None:
-        """Keep a bill until it is written; it is to be written at ``write_at``."""
+        """Hold a bill until it is written.
+
+        It replaces a held bill of the same key, unless that one has more lines.
+
+        :param owners: the processes that hold a copy.
+        :param write_at: when this process is to write it.
+        """
         with self._lock:
             old = self._held.get(bill.key)
             if old is None or len(old.bill.lines) <= len(bill.lines):
-                self._held[bill.key] = Held(bill, owners, write_at)
+                self._held[bill.key] = HeldBill(bill, owners, write_at)
 
     def owners(self) -> set[str]:
-        """Give the other holders of the bills held here."""
+        """Return the processes that hold copies of these bills."""
         with self._lock:
             return {owner for held in self._held.values() for owner in held.owners}
 
-    def release_owner(self, owner: str, write_at: float) -> None:
-        """The other holder is gone: write its bills from ``write_at`` on."""
+    def schedule_bills_of(self, owner: str, write_at: float) -> None:
+        """Write the bills that a process holds copies of at ``write_at`` at the latest.
+
+        Called when that process is gone and will not write them itself.
+        """
         with self._lock:
             for held in self._held.values():
                 if owner in held.owners:
@@ -113,22 +126,24 @@
         with self._lock:
             for key in keys:
                 self._held.pop(key, None)
-            self._dropped.notify_all()
+            self._forgotten.notify_all()
 
     def copy_all(self) -> list[messages.Bill]:
-        """Give all bills, to hand them over at a stop."""
+        """Return all bills, which stay held, for a handover at a stop."""
         with self._lock:
             return [held.bill for held in self._held.values()]
 
     def wait_empty(self, deadline: float) -> None:
-        """Wait until no bill is held here, or until the deadline."""
-        with self._dropped:
-            clock.wait_for(self._dropped, lambda: not self._held, deadline, self._clock)
+        """Wait until no bill is held, or until the deadline."""
+        with self._forgotten:
+            clock.wait_for(
+                self._forgotten, lambda: not self._held, deadline, self._clock
+            )
 
     def write_due(self) -> int:
         """Write one batch of due bills.
 
-        :returns: the number of bills settled.
+        :returns: the number of bills that are now in the table.
         :raises services_api.PlatformError: when the table did not answer; the
             bills stay held, and writing them again is safe.
         """
@@ -138,11 +153,11 @@
         if not due:
             return 0
         self._write(due)
-        self._settle(due)
+        self._release_written(due)
         return len(due)
 
-    def _write(self, due: list[Held]) -> None:
-        """Insert the bills that are absent, and replace those that rank lower."""
+    def _write(self, due: list[HeldBill]) -> None:
+        """Insert the bills that are absent and replace those that ours outrank."""
         wanted = {KEY + held.bill.key: held.bill for held in due}
         versions = dict.fromkeys(wanted, services_api.ABSENT)
         while wanted:
@@ -176,7 +191,7 @@
         }
 
     def _outranks(self, bill: messages.Bill, row: services_api.Row) -> bool:
-        """Whether our bill replaces the one in the table."""
+        """Check whether a bill of ours replaces the one in the table."""
         if row.value is None or row.value["by"] != AGENT:
             return False
         attempts = [line["attempt"] for line in row.value["lines"]]
@@ -185,10 +200,10 @@
             return False
         return self._by == ENTRY or len(bill.lines) > len(attempts)
 
-    def _settle(self, due: list[Held]) -> None:
+    def _release_written(self, due: list[HeldBill]) -> None:
         with self._lock:
             for held in due:
-                # A later bill of the same request may have taken its place.
+                # A later bill of the same request may have replaced it.
                 if self._held.get(held.bill.key) is held:
                     del self._held[held.bill.key]
         keys_of: dict[str, list[str]] = {}
@@ -202,19 +217,22 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """The part of an engine's answer that the bill needs."""
+    """The token counts of an engine's answer that a bill needs."""
 
     completion_tokens: int = 1
 
 
 class Billable(msgspec.Struct):
-    """An engine's answer, as far as the bill needs it."""
+    """The fields of an engine's answer that a bill needs."""
 
     usage: Usage = Usage()
 
 
 def parts_of(answer: bytes) -> int:
-    """Give the number of parts to bill for a whole answer."""
+    """Return the number of parts to bill for an unstreamed answer.
+
+    An answer without a readable token count is billed as one part.
+    """
     try:
         return max(
             1, msgspec.json.decode(answer, type=Billable).usage.completion_tokens
--- a/gaprock/claims.py
+++ b/gaprock/claims.py
@@ -2,10 +2,10 @@
 
 A claim is a row in the table, inserted before the call is sent to an endpoint.
 
-1. Only the writer of a claim sends the call; a claim never passes to another.
-2. Its outcome is written to the row; whoever sends the id again gets that.
-3. A claim whose call was surely not run is marked so, and may be taken anew.
-4. A claim without outcome is *in progress* until its deadline, then *unknown*:
+1. Only the process that wrote a claim sends the call; claims are never passed on.
+2. The outcome is written to the row; a caller that sends the id again gets it.
+3. A claim whose call was certainly not run is marked so; the id may be claimed again.
+4. A claim without an outcome is *in progress* until its deadline, then *unknown*:
    its holder may have died just after the call.
 """
 
@@ -15,18 +15,18 @@
 from gaprock import clock, errorcodes, errors, eventlog, ids, services_api, table_batch
 
 KEY: typing.Final = "claim/"
-OBJECT: typing.Final = "claims/"
+OBJECT_PREFIX: typing.Final = "claims/"
 CLAIMED: typing.Final = "claimed"
 DONE: typing.Final = "done"
 NOT_RUN: typing.Final = "not-run"
 UNKNOWN: typing.Final = "unknown"
-# Answers up to this size stand in the row; larger ones in the object store.
+# Answers of up to this many bytes are kept in the row, larger ones in the object store.
 MAX_ROW_ANSWER: typing.Final = 16 * 1024
-# A claim must be written within this time, seconds.
-CLAIM_PATIENCE_S: typing.Final = 1.5
-# The outcome is tried for this long, seconds; then the background goes on.
-OUTCOME_PATIENCE_S: typing.Final = 1.0
-# A refusal for the table's sake asks the caller back after this, seconds.
+# Time limit for writing a claim.
+CLAIM_TIMEOUT_S: typing.Final = 1.5
+# Time limit for writing an outcome in the foreground; a background task then retries.
+OUTCOME_TIMEOUT_S: typing.Final = 1.0
+# Minimum retry delay for a caller that is refused because the table failed.
 RETRY_AFTER_S: typing.Final = 2.0
 
 Value = dict[str, typing.Any]
@@ -47,13 +47,13 @@
 
     def __init__(self, key: str, version: int, value: Value) -> None:
         self.key = key
-        # The row's version as we wrote it.
+        # The version that the row is expected to have when the outcome is written.
         self.version = version
         self.value = value
 
 
 class Claims:
-    """Takes claims and writes their outcomes."""
+    """Inserts claims and writes their outcomes."""
 
     __slots__ = (
         "_table",
@@ -62,7 +62,7 @@
         "_clock",
         "_holder",
         "_lock",
-        "_open",
+        "_open_outcomes",
     )
 
     def __init__(
@@ -79,17 +79,17 @@
         self._clock = clock_
         self._holder = holder
         self._lock = threading.Lock()
-        # Outcomes that are not in the table yet, by key.
-        self._open: dict[str, Claim] = {}
+        # Outcomes that still have to be written to the table, by key.
+        self._open_outcomes: dict[str, Claim] = {}
 
     def take(
         self, workspace: str, request: str, digest: str, deadline: float
     ) -> Claim | StoredAnswer:
         """Claim a request id.
 
-        :param digest: binds the id to the request's body.
-        :param deadline: the call is not sent after this.
-        :returns: a new claim, or the stored outcome of the id.
+        :param digest: digest of the request's body, which binds the id to it.
+        :param deadline: the call is not sent after this time.
+        :returns: a new claim, or the stored answer to the earlier request.
         :raises errors.GaprockError: ``TABLE_DOWN`` (not run), ``IN_PROGRESS``,
             ``OUTCOME_UNKNOWN``, or ``ID_REUSED``.
         """
@@ -108,17 +108,17 @@
             if row is None:
                 return Claim(key, expect + 1, value)
             if row.value is None:
-                # Gone again between the write and its answer.
+                # The row was deleted between the failed write and the read of it.
                 expect = row.version
                 continue
             self._check_row(row.value, digest)
             if row.value["state"] == DONE:
-                return self._stored(key, row.value)
-            # Surely not run: the id may be claimed anew.
+                return self._stored_answer(key, row.value)
+            # The earlier call was certainly not run: claim the id again.
             expect = row.version
 
     def finish(self, claim: Claim, status: int, content_type: str, body: bytes) -> None:
-        """Write the outcome of a call that ran."""
+        """Store the answer of a call that ran."""
         value: Value = {
             **claim.value,
             "state": DONE,
@@ -130,49 +130,62 @@
             value["answer"] = body.decode("utf-8", "replace")
         else:
             value["object"] = self._store_body(claim.key, body)
-        self._outcome(claim, value)
+        self._write_outcome(claim, value)
 
     def mark(self, claim: Claim, state: str) -> None:
-        """Write that a call was not run, or that its outcome is unknown."""
-        self._outcome(claim, {**claim.value, "state": state, "txid": ids.new_token()})
+        """Store that a call was not run, or that its outcome is unknown.
+
+        :param state: ``NOT_RUN`` or ``UNKNOWN``.
+        """
+        self._write_outcome(
+            claim, {**claim.value, "state": state, "txid": ids.new_token()}
+        )
 
     def write_open_outcomes(self) -> int:
-        """Try again to write the outcomes that are not in the table yet.
+        """Retry the writes of the outcomes that are not in the table yet.
 
-        :returns: the number of outcomes that are still open.
+        :returns: the number of outcomes that are still not written.
         """
         with self._lock:
-            waiting = list(self._open.values())
+            waiting = list(self._open_outcomes.values())
         for claim in waiting:
-            if self._try_outcome(claim):
+            if self._retry_outcome(claim):
                 with self._lock:
-                    self._open.pop(claim.key, None)
-        return len(self._open)
+                    self._open_outcomes.pop(claim.key, None)
+        return len(self._open_outcomes)
 
     def _write(
         self, key: str, expect: int, value: Value, deadline: float
     ) -> services_api.Row | None:
-        """Write the claim's row; give the row in its way, if there is one."""
+        """Write the row of a claim.
+
+        :returns: ``None``, or the conflicting row when the condition failed.
+        """
         now = self._clock.now()
-        patience = min(deadline, now + CLAIM_PATIENCE_S)
-        fut = self._batcher.submit(services_api.TableOp(key, expect, value), patience)
+        write_by = min(deadline, now + CLAIM_TIMEOUT_S)
+        fut = self._batcher.submit(services_api.TableOp(key, expect, value), write_by)
         try:
             return fut.result()
         except services_api.AnswerLost as exc:
-            # The row may be there, or come yet; it must not stay a claim.
-            self._remember(Claim(key, expect, {**value, "state": NOT_RUN}))
-            raise self._table_down(exc) from exc
+            # The write may have taken effect, or may still do so.  The row must not
+            # stay *claimed*, as the call is not sent.
+            self._queue_outcome(Claim(key, expect, {**value, "state": NOT_RUN}))
+            raise self._table_down_error(exc) from exc
         except services_api.PlatformError as exc:
-            raise self._table_down(exc) from exc
+            raise self._table_down_error(exc) from exc
 
-    def _table_down(self, exc: services_api.PlatformError) -> errors.GaprockError:
+    def _table_down_error(self, exc: services_api.PlatformError) -> errors.GaprockError:
         retry_at = max(exc.retry_at, self._clock.now() + RETRY_AFTER_S)
         return errors.GaprockError(
             errorcodes.TABLE_DOWN, "the request id could not be claimed", retry_at
         )
 
     def _check_row(self, value: Value, digest: str) -> None:
-        """Raise what an earlier claim with this id means for a new request."""
+        """Check whether the row of an earlier request allows a new one with its id.
+
+        :raises errors.GaprockError: ``ID_REUSED``, ``IN_PROGRESS`` or
+            ``OUTCOME_UNKNOWN``.
+        """
         if value["digest"] != digest:
             raise errors.GaprockError(errorcodes.ID_REUSED)
         deadline = float(value["deadline"])
@@ -183,47 +196,47 @@
                 errorcodes.OUTCOME_UNKNOWN, "an earlier request with this id"
             )
 
-    def _stored(self, key: str, value: Value) -> StoredAnswer:
+    def _stored_answer(self, key: str, value: Value) -> StoredAnswer:
         status, content_type = int(value["status"]), str(value["content_type"])
         if "answer" in value:
             return StoredAnswer(status, content_type, str(value["answer"]).encode())
         body = None
         if value["object"]:
             try:
-                body = self._objects.get(key.replace(KEY, OBJECT, 1))
+                body = self._objects.get(key.replace(KEY, OBJECT_PREFIX, 1))
             except services_api.PlatformError as exc:
                 eventlog.warning("claim-answer-unread", key=key, error=exc)
-        # Without its body the outcome still says that it ran, and how it ended.
+        # Without the body, the status still says that the call ran and how it ended.
         return StoredAnswer(status, content_type, body or b"{}")
 
     def _store_body(self, key: str, body: bytes) -> bool:
         try:
-            self._objects.put(key.replace(KEY, OBJECT, 1), body)
+            self._objects.put(key.replace(KEY, OBJECT_PREFIX, 1), body)
         except services_api.PlatformError as exc:
             eventlog.warning("claim-answer-unstored", key=key, error=exc)
             return False
         return True
 
-    def _outcome(self, claim: Claim, value: Value) -> None:
+    def _write_outcome(self, claim: Claim, value: Value) -> None:
         outcome = Claim(claim.key, claim.version, value)
-        patience = self._clock.now() + OUTCOME_PATIENCE_S
+        write_by = self._clock.now() + OUTCOME_TIMEOUT_S
         fut = self._batcher.submit(
-            services_api.TableOp(claim.key, claim.version, value), patience
+            services_api.TableOp(claim.key, claim.version, value), write_by
         )
         try:
             fut.result()
         except services_api.PlatformError as exc:
             eventlog.warning("claim-outcome-open", key=claim.key, error=exc)
-            self._remember(outcome)
+            self._queue_outcome(outcome)
 
-    def _remember(self, claim: Claim) -> None:
+    def _queue_outcome(self, claim: Claim) -> None:
         with self._lock:
-            self._open[claim.key] = claim
+            self._open_outcomes[claim.key] = claim
 
-    def _try_outcome(self, claim: Claim) -> bool:
-        """Write an open outcome, whatever became of the earlier tries.
+    def _retry_outcome(self, claim: Claim) -> bool:
+        """Write an outcome whose earlier writes failed or were not answered.
 
-        :returns: whether nothing is left to do.
+        :returns: whether the outcome needs no further try.
         """
         try:
             row = self._table.read([claim.key])[0]
@@ -235,9 +248,10 @@
             return False
 
     def _needs_write(self, claim: Claim, row: services_api.Row) -> bool:
-        """Whether the outcome is still missing from the row."""
+        """Check whether the outcome still has to be written to the row."""
         if row.value is not None and row.value["claim"] == claim.value["claim"]:
             return bool(row.value["state"] == CLAIMED)
-        # Our write is not there, but while the row is as that write expects it,
-        # it may still come: then the outcome takes its place.
+        # The claim is not in the row.  While the row still has the version that the
+        # claim's write expects, that write may yet take effect: writing the outcome
+        # now prevents it.
         return row.version == claim.version
--- a/gaprock/ids.py
+++ b/gaprock/ids.py
@@ -1,7 +1,7 @@
-"""Ids: of requests, of processes, of transactions.
+"""Ids of requests, processes and transactions.
 
-Callers of calls that may not be repeated send a UUIDv7: its time lets old
-claims be collected without forgetting one that could still come again.
+A caller sends a UUIDv7 with a call that may not be repeated.  Ids older than the
+retention time are refused, so the claims of such ids can safely be deleted.
 """
 
 import hashlib
@@ -14,9 +14,9 @@
 
 from gaprock import errorcodes, errors
 
-# An id may be used for this long after its own time ...
+# An id is accepted until this long after its timestamp ...
 RETENTION_S: typing.Final = 7 * 24 * 3600.0
-# ... and may lie this far ahead, as clocks differ.
+# ... and its timestamp may be this far in the future, as clocks differ.
 MAX_AHEAD_S: typing.Final = 300.0
 
 CALLER_ID: typing.Final = re.compile(r"[A-Za-z0-9_.:-]{1,128}\Z")
@@ -24,17 +24,17 @@
 
 
 def new_uuid7() -> str:
-    """Make a time-ordered id."""
+    """Return a new time-ordered id."""
     return str(uuid6.uuid7())
 
 
 def new_token() -> str:
-    """Make a short random id."""
+    """Return a new short random id."""
     return secrets.token_hex(8)
 
 
 def check_caller_id(text: str) -> str:
-    """Check an id from a caller.
+    """Check the syntax of an id from a caller.
 
     :raises errors.GaprockError: ``BAD_REQUEST``.
     """
@@ -49,10 +49,11 @@
 def check_once_id(text: str, now: float) -> str:
     """Check the id of a call that may not be repeated.
 
-    :param now: seconds since the epoch.
-    :returns: the id in its one canonical spelling.
+    :param now: seconds since the Unix epoch.
+    :returns: the id in its canonical form.
     :raises errors.GaprockError: ``BAD_REQUEST``, or ``ID_TOO_OLD`` when the
-        claim of such an id may have been collected already.
+        claim of such an id may have been deleted already, or when the timestamp is
+        too far in the future.
     """
     try:
         parsed = uuid.UUID(text)
@@ -73,5 +74,5 @@
 
 
 def digest(data: bytes) -> str:
-    """Give a short digest that binds an id to its request's body."""
+    """Return a short digest of a request's body, which binds an id to it."""
     return hashlib.sha256(data).hexdigest()[:16]
--- a/gaprock/lease.py
+++ b/gaprock/lease.py
@@ -1,7 +1,7 @@
-"""The control lease: one row in the table, with an epoch that only grows.
+"""The control lease: one row in the table, with an epoch that never decreases.
 
-A holder that was paused may still believe that it holds the lease.  Nothing
-relies on that belief: control writes carry the lease row's version as a
+A holder that was paused may wrongly assume that it still holds the lease.  Fencing
+makes this harmless: control writes carry the version of the lease's row as a
 condition, and orders carry the epoch, which agents and engines compare.
 """
 
@@ -13,7 +13,7 @@
 
 
 class Lease:
-    """One process's view of the lease; used by one thread."""
+    """The lease as one process sees it; for use by a single thread."""
 
     __slots__ = (
         "_table",
@@ -22,7 +22,7 @@
         "_lease_s",
         "epoch",
         "_version",
-        "until",
+        "held_until",
     )
 
     def __init__(
@@ -36,23 +36,23 @@
         self._holder = holder
         self._clock = clock_
         self._lease_s = lease_s
-        # The highest epoch seen; ours while we hold the lease.
+        # The highest epoch seen; our own while we hold the lease.
         self.epoch = 0
         self._version = 0
-        # Until when we hold the lease; 0 when we do not.
-        self.until = 0.0
+        # When our lease expires; 0 while we do not hold it.
+        self.held_until = 0.0
 
     @property
     def held(self) -> bool:
-        """Whether we hold the lease, as far as we know."""
-        return self._clock.now() < self.until
+        """Whether our lease has not expired by our own clock."""
+        return self._clock.now() < self.held_until
 
     def condition(self) -> services_api.TableOp:
-        """Give the condition that our lease is still the one in the table."""
+        """Return a check for a transaction: the lease in the table is still ours."""
         return services_api.TableOp(KEY, self._version, check_only=True)
 
     def refresh(self) -> bool:
-        """Take or renew the lease if that is possible.
+        """Acquire or renew the lease unless another process holds it.
 
         :returns: whether we hold it.
         :raises services_api.PlatformError: when the table did not answer.
@@ -63,24 +63,24 @@
         self.epoch = max(self.epoch, int(value["epoch"]))
         ours = value["holder"] == self._holder
         if not ours and float(value["until"]) > asked_at:
-            self.until = 0.0
+            self.held_until = 0.0
             return False
-        # A new term even for ourselves once the old one lapsed: another holder
-        # may have been there in between.
-        lapsed = float(value["until"]) <= asked_at
-        epoch = int(value["epoch"]) + (0 if ours and not lapsed else 1)
+        # Once our lease has expired we need a new epoch too: another process may have
+        # held the lease in between.
+        has_expired = float(value["until"]) <= asked_at
+        epoch = int(value["epoch"]) + (0 if ours and not has_expired else 1)
         return self._write(row, epoch, asked_at)
 
     def release(self) -> None:
-        """Give the lease up so that the next holder need not wait."""
+        """Release the lease, so that the next holder need not wait until it expires."""
         if not self.held:
             return
         value = {"holder": "", "epoch": self.epoch, "until": 0.0}
-        self.until = 0.0
+        self.held_until = 0.0
         try:
             self._table.transact([services_api.TableOp(KEY, self._version, value)])
         except services_api.PlatformError:
-            # It lapses by itself.
+            # The lease expires by itself.
             return
 
     def _write(self, row: services_api.Row, epoch: int, asked_at: float) -> bool:
@@ -95,9 +95,9 @@
             found = self._table.read([KEY])[0]
             done = found.value is not None and found.value.get("txid") == txid
         if not done:
-            self.until = 0.0
+            self.held_until = 0.0
             return False
         self.epoch = epoch
         self._version = row.version + 1
-        self.until = until
+        self.held_until = until
         return True
--- a/gaprock/services_api.py
+++ b/gaprock/services_api.py
@@ -1,6 +1,6 @@
-"""What gaprock needs of the platform.
+"""Interfaces of the platform services that gaprock uses.
 
-``services_http`` speaks to services over HTTP; a site with other protocols
+``services_http`` implements them over HTTP; a deployment with other protocols
 registers a connector of its own.
 """
 
@@ -14,7 +14,7 @@
 class Row(msgspec.Struct, frozen=True):
     """A row of the table.
 
-    :param version: raised by each write; 0 means that there is no row.
+    :param version: increased by each write; 0 when the row does not exist.
     """
 
     key: str
@@ -23,11 +23,12 @@
 
 
 class TableOp(msgspec.Struct, frozen=True):
-    """One step of a transaction.
+    """One operation of a transaction.
 
-    :param expect: the row's version that must hold; ``ANY_VERSION`` for any.
-    :param value: what to write.
-    :param check_only: when true, only the condition counts.
+    :param expect: the version that the row must have, or ``ANY_VERSION``.
+    :param value: the value to write.
+    :param check_only: only check the version, write nothing.
+    :param delete: delete the row instead of writing it.
     """
 
     key: str
@@ -42,7 +43,11 @@
 
 
 class TxResult(msgspec.Struct, frozen=True):
-    """A transaction's answer: done whole, or the rows whose condition failed."""
+    """The result of a transaction.
+
+    :param ok: whether all operations were carried out; otherwise none was.
+    :param failed: the rows whose version was not the expected one.
+    """
 
     ok: bool
     failed: list[Row] = []
@@ -51,7 +56,8 @@
 class PlatformError(Exception):
     """The service refused or could not be reached; nothing was changed.
 
-    :param retry_at: when it asked us to come back, seconds since the epoch.
+    :param retry_at: when the service may be called again, seconds since the Unix
+        epoch; 0 when it named no time.
     """
 
     def __init__(self, detail: str, retry_at: float = 0.0) -> None:
@@ -60,11 +66,11 @@
 
 
 class RateLimited(PlatformError):
-    """The service is up but takes no more calls now."""
+    """The service is up but refuses more calls for now."""
 
 
 class AnswerLost(PlatformError):
-    """The service may have taken the change: its answer did not come."""
+    """No answer arrived; the change may have been made."""
 
 
 class Table:
@@ -73,24 +79,24 @@
     __slots__ = ()
 
     def transact(self, ops: list[TableOp]) -> TxResult:
-        """Carry out all steps or none.
+        """Carry out all operations or none.
 
-        :raises AnswerLost: when the outcome is not known.
+        :raises AnswerLost: when the outcome is unknown.
         :raises PlatformError: when nothing was changed.
         """
         raise NotImplementedError
 
     def read(self, keys: list[str]) -> list[Row]:
-        """Read rows at one point in time, in the order of ``keys``.
+        """Read rows as of one point in time, in the order of ``keys``.
 
-        :raises PlatformError: when it did not answer.
+        :raises PlatformError: when the read failed.
         """
         raise NotImplementedError
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
-        """Read up to ``limit`` rows of a prefix with keys above ``after``.
+        """Read up to ``limit`` rows with a key prefix, in order, after key ``after``.
 
-        :raises PlatformError: when it did not answer.
+        :raises PlatformError: when the read failed.
         """
         raise NotImplementedError
 
@@ -103,14 +109,14 @@
     def put(self, name: str, data: bytes) -> None:
         """Store an object.
 
-        :raises PlatformError: when it may not be stored.
+        :raises PlatformError: when it is possibly not stored.
         """
         raise NotImplementedError
 
     def get(self, name: str) -> bytes | None:
-        """Read an object; ``None`` when there is none.
+        """Read an object; ``None`` when it does not exist.
 
-        :raises PlatformError: when it did not answer.
+        :raises PlatformError: when the read failed.
         """
         raise NotImplementedError
 
@@ -121,12 +127,12 @@
     __slots__ = ()
 
     def rate(self, workspace: str, body: bytes, answer: bytes) -> float | None:
-        """Rate an answer, 0 to 1; ``None`` when it gives no rating now."""
+        """Rate an answer from 0 to 1; ``None`` when no rating is available."""
         raise NotImplementedError
 
 
 class Vm(msgspec.Struct, frozen=True):
-    """A line of the VM list."""
+    """An entry of the VM list."""
 
     vm: str
     hall: str
@@ -136,20 +142,20 @@
 
 
 class VmList:
-    """The platform's lagging list of VMs."""
+    """The platform's list of VMs, which lags behind their state."""
 
     __slots__ = ()
 
     def vms(self) -> list[Vm]:
         """List the VMs.
 
-        :raises PlatformError: when it did not answer.
+        :raises PlatformError: when the read failed.
         """
         raise NotImplementedError
 
 
 class Platform:
-    """All of the platform's services, as one process uses them."""
+    """The clients of all platform services that one process uses."""
 
     __slots__ = ("table", "objects", "rater", "vm_list")
 
@@ -163,15 +169,15 @@
 
 
 class Connector(plugin.Plugin):
-    """Makes a process's clients of the platform."""
+    """Creates the clients of the platform services."""
 
     __slots__ = ()
 
     def connect(self, cfg: options.Options) -> Platform:
-        """Make the clients; no call is made yet."""
+        """Create the clients without calling the services."""
         raise NotImplementedError
 
 
 def connect(cfg: options.Options) -> Platform:
-    """Connect by the connector that the settings name."""
+    """Create the clients by the connector that the settings name."""
     return plugin.find(Connector, cfg.connector)().connect(cfg)
--- a/gaprock/services_http.py
+++ b/gaprock/services_http.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP and JSON, through ``urllib3``."""
+"""Clients of the platform services over HTTP and JSON."""
 
 import time
 import typing
@@ -11,14 +11,15 @@
 
 DEFAULT_RETRY_S: typing.Final = 1.0
 POOL_SIZE: typing.Final = 16
-# After so many failures in a row the table is taken to be down ...
+# Consecutive failures after which the circuit breaker opens and calls to the table fail
+# at once ...
 BREAKER_FAILURES: typing.Final = 2
-# ... and is asked again after this, seconds.  Until then calls fail at once.
+# ... until it lets one call through after this time.
 BREAKER_RESET_S: typing.Final = 1.0
 
 
 class Http:
-    """One client for all of the platform's services; safe for all threads."""
+    """HTTP client that the clients of all services share; thread-safe."""
 
     __slots__ = ("_base", "_pool", "_headers", "_wait_s")
 
@@ -33,8 +34,10 @@
     def call(self, method: str, path: str, body: bytes | None) -> bytes:
         """Make one call.
 
-        :raises services_api.AnswerLost: the call may have been carried out.
-        :raises services_api.PlatformError: it was not carried out.
+        :returns: the body of the response; empty for status 404.
+        :raises services_api.AnswerLost: when the call may have been carried out.
+        :raises services_api.RateLimited: when the service limits the rate of calls.
+        :raises services_api.PlatformError: when it was not carried out.
         """
         timeout = urllib3.Timeout(total=self._wait_s)
         try:
@@ -52,10 +55,10 @@
             raise services_api.PlatformError(str(exc)) from exc
         except urllib3.exceptions.HTTPError as exc:
             raise services_api.AnswerLost(str(exc)) from exc
-        named_s = retry_after.seconds(
+        retry_after_s = retry_after.seconds(
             resp.headers.get("Retry-After", ""), resp.headers.get("Date", "")
         )
-        seconds = DEFAULT_RETRY_S if named_s is None else named_s
+        seconds = DEFAULT_RETRY_S if retry_after_s is None else retry_after_s
         if resp.status == 429:
             raise services_api.RateLimited("status 429", time.time() + seconds)
         if resp.status == 503:
@@ -80,13 +83,13 @@
 
 
 class ReadRequest(msgspec.Struct):
-    """Asks for rows by key."""
+    """Request for rows by key."""
 
     keys: list[str]
 
 
 class ScanRequest(msgspec.Struct):
-    """Asks for rows by prefix."""
+    """Request for rows by key prefix."""
 
     prefix: str
     after: str
@@ -94,13 +97,13 @@
 
 
 class TxRequest(msgspec.Struct):
-    """Asks for a transaction."""
+    """Request for a transaction."""
 
     ops: list[services_api.TableOp]
 
 
 class RateRequest(msgspec.Struct):
-    """Asks for a rating."""
+    """Request for a rating."""
 
     workspace: str
     body: str
@@ -108,13 +111,13 @@
 
 
 class RateAnswer(msgspec.Struct):
-    """A rating, 0 to 1."""
+    """A rating from 0 to 1."""
 
     rating: float
 
 
 class HttpTable(services_api.Table):
-    """The table service; while it is down, calls fail at once."""
+    """The table service, behind a circuit breaker."""
 
     __slots__ = ("_http", "_breaker")
 
@@ -201,7 +204,7 @@
 
 @plugin.register(services_api.Connector, "http")
 class HttpConnector(services_api.Connector):
-    """Connects to all of the services at one base address."""
+    """Creates clients of all services at one base URL."""
 
     __slots__ = ()
 
--- a/gaprock/sessions.py
+++ b/gaprock/sessions.py
@@ -1,7 +1,7 @@
-"""Session tokens: the caller carries the session's version, signed by us.
+"""Signed session tokens, in which the caller carries the version of its session.
 
-No process keeps sessions, so any entry can go on with one.  Two keys may be
-set during a rotation: the first one signs, both are accepted.
+Entries keep no session state, so any entry can continue a session.  Two keys may
+be set during a key rotation: the first one signs, both are accepted.
 """
 
 import hashlib
@@ -16,7 +16,7 @@
 
 
 class Session(msgspec.Struct, frozen=True):
-    """What a token says."""
+    """The content of a session token."""
 
     session: str
     workspace: str
@@ -25,16 +25,16 @@
 
 
 class Signer:
-    """Makes and checks tokens.
+    """Signs and verifies session tokens.
 
-    :param keys: the secret keys, the signing one first.
+    :param keys: the secret keys; the first one signs.
     """
 
     __slots__ = ("_signer",)
 
     def __init__(self, keys: list[str]) -> None:
         # The library signs with the last key of its list.
-        # The keys are long and used for nothing else, so none is derived from them.
+        # Key derivation is off, as the keys are long and used for nothing else.
         self._signer = itsdangerous.URLSafeSerializer(
             list(reversed(keys)),
             salt=SALT,
@@ -45,14 +45,14 @@
         )
 
     def sign(self, session: Session) -> str:
-        """Make the token of a session."""
+        """Return the signed token of a session."""
         return str(self._signer.dumps(msgspec.to_builtins(session)))
 
     def read(self, token: str, workspace: str, template: str) -> Session:
-        """Check a token.
+        """Verify a token and return its session.
 
-        :raises errors.GaprockError: ``BAD_SESSION`` when it is forged, or belongs
-            to another workspace or template.
+        :raises errors.GaprockError: ``BAD_SESSION`` when the token is not valid, or
+            belongs to another workspace or template.
         """
         try:
             found = msgspec.convert(self._signer.loads(token), Session)
--- a/gaprock/test/fakes/engine.py
+++ b/gaprock/test/fakes/engine.py
@@ -1,14 +1,21 @@
-"""A stand-in of a model engine, and of a plain service.
+"""Fake of a model engine and of a plain service.
 
-The engine streams server-sent events with a fixed time to the first part and
+The engine streams server-sent events with a fixed delay before the first part and
 between parts, runs ``slots`` requests at a time and queues the rest, resumes and
-cancels streams, reports its load with a lag, keeps versions within its memory,
-and takes orders; ``checks_orders`` makes it refuse those with an old epoch.
-
-Faults: ``cut_after``: cut each new stream after so many parts (once a stream);
-``fail``: answer 500; ``refuse``: answer 503, ``retry_after``: with that time to come
-back; ``stall_after``: go silent after so many parts; ``slow``: times all delays;
-``bad``: versions that answer with errors; ``pace_s``: seconds between parts.
+cancels streams, reports its load with a lag of ``lag_s``, loads as many versions as
+fit its memory, and carries out orders; with ``checks_orders`` it refuses those with
+an old epoch.
+
+Faults:
+
+* ``cut_after``: cut each stream once, after this many parts;
+* ``fail``: answer 500;
+* ``refuse``: answer 503, with ``retry_after`` as its ``Retry-After``;
+* ``stall_after``: send nothing for ``stall_s`` after this many parts;
+* ``slow``: factor of all delays;
+* ``bad``: versions whose requests fail with status 500;
+* ``die_after_run``: run an unstreamed request, then close the connection unanswered;
+* ``pace_s``: delay between parts, instead of ``part_s``.
 """
 
 import collections
@@ -21,7 +28,7 @@
 
 
 class Stream:
-    """A stream that can be taken up again."""
+    """A stream that can be resumed."""
 
     def __init__(self, version: str, parts: int) -> None:
         self.version = version
@@ -31,7 +38,7 @@
 
 
 class EngineFake(httpfake.Fake):
-    """One engine, or with ``service`` one plain service."""
+    """One engine, or one plain service."""
 
     def __init__(
         self,
@@ -57,7 +64,7 @@
         self.orders: list[dict[str, typing.Any]] = []
         self.lock = threading.Lock()
         self.streams: dict[str, Stream] = {}
-        # Every request that ran, by the request's id header.
+        # How often each request ran, by its ``X-Request-Id``.
         self.ran: collections.Counter[str] = collections.Counter()
         self.ran_versions: collections.Counter[str] = collections.Counter()
         self.running = 0
@@ -119,8 +126,8 @@
             self.refused += 1
             wait = str(self.faults.get("retry_after", "1"))
             return httpfake.Reply(503, headers={"Retry-After": wait})
-        asked = json.loads(body or b"{}")
-        version = str(asked.get("model", ""))
+        params = json.loads(body or b"{}")
+        version = str(params.get("model", ""))
         request = exchange.headers.get("X-Request-Id", "")
         with self.slots:
             with self.lock:
@@ -128,17 +135,17 @@
                 self.ran_versions[version] += 1
             self._count(1)
             try:
-                return self._answer(exchange, asked, version)
+                return self._answer(exchange, params, version)
             finally:
                 self._count(-1)
 
     def _answer(
-        self, exchange: httpfake.Exchange, asked: typing.Any, version: str
+        self, exchange: httpfake.Exchange, params: typing.Any, version: str
     ) -> httpfake.Reply | None:
         if self.faults.get("fail") or version in self.faults.get("bad", ()):
             return httpfake.json_reply({"error": "broken"}, 500)
-        parts = int(asked.get("max_tokens") or self.parts)
-        if not asked.get("stream"):
+        parts = int(params.get("max_tokens") or self.parts)
+        if not params.get("stream"):
             self._sleep(self.first_s + self.part_s * parts)
             if self.faults.get("die_after_run"):
                 return httpfake.Reply(0, drop=True)
@@ -162,7 +169,7 @@
                     },
                 }
             )
-        name = f"s{id(asked)}-{time.monotonic_ns()}"
+        name = f"s{id(params)}-{time.monotonic_ns()}"
         stream = self.streams[name] = Stream(version, parts)
         exchange.start_stream({"X-Stream-Id": name})
         self._sleep(self.first_s)
@@ -211,7 +218,7 @@
 
 
 def part_bytes(version: str, number: int) -> bytes:
-    """Give one part of a streamed answer."""
+    """Return one part of a streamed answer."""
     delta = {"role": "assistant", "content": f"{version}:{number} "}
     chunk = {
         "id": "1",
--- a/gaprock/test/fakes/platform.py
+++ b/gaprock/test/fakes/platform.py
@@ -1,11 +1,13 @@
-"""Stand-ins of the platform's services: table, objects, rating, VM list.
+"""Fake of the platform services: table, objects, rating, VM list.
 
 Faults, set as ``faults`` or by ``POST /_faults``:
 
-* ``down``: every table call is refused; ``hang``: it gets no answer;
-* ``slow_s``: seconds before each table answer; ``rate``: table calls a second;
-* ``lose_answers``: so many table changes take effect but their answer is lost;
-* ``rating_down``: the rating service refuses; ``rating_slow_s``: it is late.
+* ``down``: table calls are refused; ``hang``: they get no answer, and their
+  connection is closed after this many seconds;
+* ``slow_s``: delay of each table answer; ``rate``: limit of table calls per second;
+* ``lose_answers``: this many table changes take effect but are not answered;
+* ``objects_down``: the object store refuses calls;
+* ``rating_down``: the rating service refuses calls; ``rating_slow_s``: its delay.
 """
 
 import json
@@ -19,7 +21,7 @@
 
 
 class PlatformFake(httpfake.Fake):
-    """All of the platform's services on one port."""
+    """All platform services on one port."""
 
     def __init__(self, port: int = 0) -> None:
         super().__init__(port)
@@ -27,7 +29,7 @@
         self.rows: dict[str, Row] = {}
         self.objects: dict[str, bytes] = {}
         self.vms: list[dict[str, str]] = []
-        # Rating of each version's answers; the answer's text names the version.
+        # Rating of each version's answers, whose text names the version.
         self.ratings: dict[str, float] = {}
         self.calls = 0
         self.history: list[list[Row]] = []
@@ -52,13 +54,13 @@
         return httpfake.Reply(404)
 
     def value(self, key: str) -> typing.Any:
-        """Give a row's value, or ``None``."""
+        """Return the value of a row, or ``None``."""
         with self.lock:
             row = self.rows.get(key)
             return row["value"] if row else None
 
     def keys(self, prefix: str) -> list[str]:
-        """List the keys of a prefix."""
+        """List the keys with a prefix."""
         with self.lock:
             return sorted(key for key in self.rows if key.startswith(prefix))
 
@@ -72,23 +74,23 @@
         if not self._within_rate():
             return httpfake.Reply(429, headers={"Retry-After": "1"})
         time.sleep(float(self.faults.get("slow_s", 0)))
-        asked = json.loads(body)
+        query = json.loads(body)
         with self.lock:
-            answer, changed = self._answer(path, asked)
+            answer, changed = self._answer(path, query)
             lost = int(self.faults.get("lose_answers", 0))
             if changed and lost:
                 self.faults["lose_answers"] = lost - 1
                 return httpfake.Reply(0, drop=True)
         return httpfake.json_reply(answer)
 
-    def _answer(self, path: str, asked: typing.Any) -> tuple[object, bool]:
+    def _answer(self, path: str, query: typing.Any) -> tuple[object, bool]:
         if path == "/table/read":
-            return [self._row(key) for key in asked["keys"]], False
+            return [self._row(key) for key in query["keys"]], False
         if path == "/table/scan":
-            keys = sorted(k for k in self.rows if k.startswith(asked["prefix"]))
-            later = [k for k in keys if k > asked["after"]]
-            return [self._row(key) for key in later[: asked["limit"]]], False
-        return self._transact(asked["ops"])
+            keys = sorted(k for k in self.rows if k.startswith(query["prefix"]))
+            following = [k for k in keys if k > query["after"]]
+            return [self._row(key) for key in following[: query["limit"]]], False
+        return self._transact(query["ops"])
 
     def _transact(self, ops: list[Row]) -> tuple[object, bool]:
         failed = [
--- a/gaprock/test/fakes/tables.py
+++ b/gaprock/test/fakes/tables.py
@@ -1,19 +1,21 @@
-"""A table inside the test's process, with a fault for each call."""
+"""In-memory table whose calls can be made to fail."""
 
 import typing
 
 from gaprock import services_api
 
-# Faults: the call is refused; its answer is lost after it took effect; its answer
-# is lost and it takes effect only when ``land`` is called.
+# What happens to a call.
 OK: typing.Final = "ok"
+# It is refused.
 DOWN: typing.Final = "down"
+# It takes effect, but its answer is lost.
 LOST: typing.Final = "lost"
+# Its answer is lost, and it takes effect only when ``land`` is called.
 LATE: typing.Final = "late"
 
 
 class TableFake(services_api.Table):
-    """Rows in memory; ``faults`` are used up one a call, then all goes well."""
+    """Rows in memory; each call uses up one of ``faults``, later calls succeed."""
 
     def __init__(self, faults: typing.Sequence[str] = ()) -> None:
         self.rows: dict[str, services_api.Row] = {}
@@ -33,7 +35,7 @@
         return result
 
     def land(self) -> None:
-        """Let the late transactions take effect, if their conditions still hold."""
+        """Apply the late transactions whose conditions still hold."""
         late, self._late = self._late, []
         for ops in late:
             self._apply(ops)
@@ -49,7 +51,7 @@
         return [self.rows[key] for key in keys[:limit]]
 
     def row(self, key: str) -> services_api.Row:
-        """Give a row, or the mark of its absence."""
+        """Return a row; one of version 0 if it is absent."""
         return self.rows.get(key, services_api.Row(key, 0))
 
     def _apply(self, ops: list[services_api.TableOp]) -> services_api.TxResult:
--- a/gaprock/test/testbills.py
+++ b/gaprock/test/testbills.py
@@ -15,8 +15,8 @@
     return messages.Bill(key, "r", "demo", "explain", 0, lines)
 
 
-def write_out(*books: bills.BillBuffer) -> None:
-    """Write until nothing is held."""
+def write_all(*books: bills.BillBuffer) -> None:
+    """Write until no buffer holds a bill."""
     for _ in range(50):
         for book in books:
             try:
@@ -47,7 +47,7 @@
     agents = [bills.BillBuffer(table, bills.AGENT, 100, now) for _ in range(2)]
     for number in range(keys):
         key = f"k{number}"
-        # A cascade: the first agent knows one attempt, the others both.
+        # A cascade: the first agent has one attempt, the second and the entry both.
         agents[0].hold(bill_of(key, "1"), [], now.now())
         agents[1].hold(bill_of(key, "1", "2"), [], now.now())
         entry.hold(bill_of(key, "1", "2"), [], now.now())
@@ -59,7 +59,7 @@
             table.land()
     table.faults.clear()
     table.land()
-    write_out(*books)
+    write_all(*books)
     assert sorted(table.rows) == [f"bill/k{number}" for number in range(keys)]
     for row in table.rows.values():
         assert row.value is not None
@@ -72,16 +72,16 @@
     agent = bills.BillBuffer(table, bills.AGENT, 10, now)
     entry = bills.BillBuffer(table, bills.ENTRY, 10, now)
     agent.hold(bill_of("k", "given-up"), [], now.now())
-    write_out(agent)
+    write_all(agent)
     entry.hold(bill_of("k", "delivered"), [], now.now())
-    write_out(entry)
+    write_all(entry)
     row = table.rows["bill/k"]
     assert row.value is not None
     assert [line["attempt"] for line in row.value["lines"]] == ["delivered"]
 
 
-def vanish(entry: typing.Any) -> None:
-    """Let an entry die without a word: its tasks and links end, its bills do not."""
+def kill(entry: typing.Any) -> None:
+    """Stop an entry's tasks and links as a crash would; its bills stay unwritten."""
     for task in entry._tasks:
         task.stop()
     for link in entry.links.all():
@@ -101,7 +101,7 @@
         answer = s.chat(stream=True)
         site.collect(answer)
         assert len(entry.bills) == 1 and not s.platform.keys("bill/")
-        vanish(s.entries.pop(0))
+        kill(s.entries.pop(0))
         site.wait_until(lambda: s.platform.keys("bill/"), "the agent's write")
         (key,) = s.platform.keys("bill/")
         assert s.platform.value(key)["by"] == bills.AGENT
@@ -155,7 +155,7 @@
         s.start(agents=2, entries=1)
         s.platform.faults["down"] = True
         s.chat()
-        # Entry and agents are replaced one after the other; the table stays down.
+        # The entry and the agents are replaced one by one while the table stays down.
         s.start_entry()
         s.wait_linked()
         s.entries.pop(0).stop()
--- a/gaprock/test/testclaims.py
+++ b/gaprock/test/testclaims.py
@@ -12,8 +12,8 @@
 from gaprock.test.fakes import tables
 
 
-class Rig:
-    """Two holders over one faulty table."""
+class ClaimsCase:
+    """Two claim holders that use one faulty table."""
 
     def __init__(self, faults: typing.Sequence[str] = ()) -> None:
         self.table = tables.TableFake(faults)
@@ -47,27 +47,27 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=120)
 @hypothesis.given(steps=steps, faults=faults)
-# A claim whose write is late is given up, its id is claimed anew by the same holder,
-# and only then is the first one settled.
+# The write of a claim takes effect late: the claim is given up, the same holder claims
+# the id again, and only then the outcome of the first claim is written.
 @hypothesis.example(
     steps=[(0, "run"), (0, "crash"), (0, "settle"), (0, "run")], faults=[tables.LATE]
 )
 def test_no_order_of_faults_lets_a_call_run_twice(
     steps: list[tuple[int, str]], faults: list[str]
 ) -> None:
-    rig = Rig(faults)
+    case = ClaimsCase(faults)
     ran = 0
     for who, step in steps:
-        holder = rig.holders[who]
+        holder = case.holders[who]
         if step == "land":
-            rig.table.land()
+            case.table.land()
             continue
         if step == "settle":
             holder.write_open_outcomes()
             continue
         try:
-            # So short that a claim is given up after one failed try.
-            deadline = rig.clock.now() + 0.005
+            # Short enough that a claim is given up after one failed write.
+            deadline = case.clock.now() + 0.005
             claim = holder.take("demo", "id", "digest", deadline)
         except errors.GaprockError:
             continue
@@ -80,7 +80,7 @@
         ran += 1
         if step == "run":
             holder.finish(claim, 200, "application/json", b"{}")
-    rig.stop()
+    case.stop()
     assert ran <= 1
 
 
@@ -179,7 +179,7 @@
 
 
 class PausingClaims:
-    """Claims whose process is paused just after it got a claim."""
+    """Claims whose process is paused just after it inserted a claim."""
 
     def __init__(self, inner: claims.Claims) -> None:
         self._inner = inner
@@ -225,7 +225,7 @@
         thread.join()
         assert codes == ["deadline-past"]
         assert s.engines["svc"].ran[request] == 0
-        # It is known by now that it was not run, so the id may be used again.
+        # The call is now known not to have run, so the id may be claimed again.
         assert s.score(request, 1).status == 200
         assert s.engines["svc"].ran[request] == 1
 
@@ -234,7 +234,7 @@
     with site.Site() as s:
         start_service(s)
         entry = s.entries[0]
-        # The entry's own clock is behind: only the agent can notice.
+        # The entry's clock is slow, so only the agent can detect the passed deadline.
         behind = clock.ManualClock(clock.Clock().now() - 100)
         setattr(entry.server, "_clock", behind)
         setattr(entry.dispatcher, "_clock", behind)
@@ -309,7 +309,7 @@
 
 
 def test_a_large_answer_is_stored_beside_the_row() -> None:
-    rig = Rig()
+    case = ClaimsCase()
 
     class Objects:
         def __init__(self) -> None:
@@ -321,14 +321,14 @@
         def get(self, name: str) -> bytes | None:
             return self.held.get(name)
 
-    rig.holders[0]._objects = typing.cast(typing.Any, Objects())
-    deadline = rig.clock.now() + 5
-    claim = rig.holders[0].take("demo", "id", "d", deadline)
+    case.holders[0]._objects = typing.cast(typing.Any, Objects())
+    deadline = case.clock.now() + 5
+    claim = case.holders[0].take("demo", "id", "d", deadline)
     assert isinstance(claim, claims.Claim)
     body = b"x" * (claims.MAX_ROW_ANSWER + 1)
-    rig.holders[0].finish(claim, 200, "text/plain", body)
-    stored = rig.holders[0].take("demo", "id", "d", deadline)
-    rig.stop()
+    case.holders[0].finish(claim, 200, "text/plain", body)
+    stored = case.holders[0].take("demo", "id", "d", deadline)
+    case.stop()
     assert stored == claims.StoredAnswer(200, "text/plain", body)
 
 
--- a/gaprock/test/testownbackoff.py
+++ b/gaprock/test/testownbackoff.py
@@ -1,4 +1,4 @@
-"""Engines of the own mode that shed load and ask for a backoff."""
+"""An engine that sheds load gets no requests until the backoff it asked for is over."""
 
 import pytest
 
--- a/gaprock/test/testtakeover.py
+++ b/gaprock/test/testtakeover.py
@@ -1,8 +1,9 @@
-"""A rollout's outcome under chance: who writes it, and what becomes of lost writes.
+"""A rollout gets one final outcome, whichever gateway writes it and writes get lost.
 
-Gateways take turns to write.  Writes are done and answered, done and not answered,
-lost, or done late if their condition still holds; rows and beats come late; gateways
-are killed and started anew, at any moment; the version turns out bad, or not.
+Gateways take turns to write.  A write is applied and answered, applied and not
+answered, lost, or applied late if its condition still holds.  Rows and heartbeats
+arrive late, gateways are killed and restarted at any moment, and the version may
+turn out bad.
 """
 
 import typing
@@ -36,33 +37,33 @@
 
 
 class ModelStore(gateway_api.SharedStore):
-    """Keeps the outcome's row; what becomes of a write is the machine's."""
+    """Keeps the row of the outcome; the state machine sets the fate of each write."""
 
-    __slots__ = ("version", "row", "history", "how", "late")
+    __slots__ = ("version", "row", "history", "write_result", "late")
 
     def __init__(self) -> None:
-        # The order is the first transaction.
+        # The first transaction was the rollout order.
         self.version = 1
         self.row: gateway_api.Row | None = None
         self.history: list[str] = []
-        # What becomes of the next write.
-        self.how = "answered"
+        # The fate of the next write: answered, unanswered, late or lost.
+        self.write_result = "answered"
         self.late: list[gateway_api.Write] = []
 
     def commit(self, writes: list[gateway_api.Write]) -> int:
         outcome = next(w for w in writes if w.table == TABLE)
-        how, self.how = self.how, "answered"
-        if how == "late":
+        write_result, self.write_result = self.write_result, "answered"
+        if write_result == "late":
             self.late.append(outcome)
-        if how in ("late", "lost"):
+        if write_result in ("late", "lost"):
             raise gateway_api.StoreError("no answer")
         done = self.write(outcome)
-        if how == "unanswered":
+        if write_result == "unanswered":
             raise gateway_api.StoreError("no answer")
         return done
 
     def write(self, write: gateway_api.Write) -> int:
-        """Do a write whose condition holds."""
+        """Apply a write if its condition holds; return its version, otherwise 0."""
         version = self.row.version if self.row else 0
         if write.expect is not None and write.expect != version:
             return 0
@@ -74,7 +75,7 @@
 
 
 class Member:
-    """One gateway's part in a rollout."""
+    """The parts of a gateway that take part in a rollout."""
 
     def __init__(self, name: str, world: "Takeover") -> None:
         self.time = world.clock
@@ -111,10 +112,10 @@
         )
         order = gateway_api.RolloutOrder(SERVICE, "v2", FINISH_S)
         self.rollout = self.rollouts.add_order(order, 1, world.started_at)
-        self.hear(world.store)
+        self.apply_row(world.store)
 
-    def hear(self, store: ModelStore) -> None:
-        """Take the row as it is now."""
+    def apply_row(self, store: ModelStore) -> None:
+        """Apply the row as it is now."""
         if store.row is not None:
             page = gateway_api.Page([store.row], store.row.version, 0.0)
             self.rows.apply_page(page, whole=False)
@@ -124,7 +125,7 @@
 
 
 class Takeover(stateful.RuleBasedStateMachine):
-    """The machine."""
+    """State machine of two gateways and the store."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -135,32 +136,32 @@
         self.members = [Member(name, self) for name in self.names]
 
     def teardown(self) -> None:
-        """Without further faults, the outcome stands in time and everywhere."""
-        self.store.how = "answered"
+        """Without further faults, both gateways learn a final outcome in time."""
+        self.store.write_result = "answered"
         if any(member.rollout.halted for member in self.members):
-            # Halts are told in beats.
+            # Heartbeats carry the halt to the other gateway.
             for member in self.members:
                 member.rollouts.halt(SERVICE, 1, "told")
         while self.clock.now() < self.started_at + FINISH_S:
-            self._all_step()
-        self._all_step()
-        self._all_step()
+            self._step_all()
+        self._step_all()
+        self._step_all()
         assert self.store.history and self.store.history[-1] in FINAL
         shares = [m.rollouts.share(m.rollout) for m in self.members]
         assert shares == [1.0 if self.store.history[-1] == "completed" else 0.0] * 2
 
-    def _all_step(self) -> None:
+    def _step_all(self) -> None:
         self.clock.advance(STEP_S)
         for member in self.members:
-            member.hear(self.store)
+            member.apply_row(self.store)
             member.writer.step()
-            member.hear(self.store)
+            member.apply_row(self.store)
 
     @stateful.rule(
         steps=st.integers(1, 12), living=st.sampled_from([(0,), (1,), (0, 1)])
     )
     def time_passes(self, steps: int, living: tuple[int, ...]) -> None:
-        """Time passes, and those who are not paused look at their duty."""
+        """Time passes; the gateways that are not paused run their writers."""
         until = self.started_at + FINISH_S - rollout_state.WRITE_BEFORE_S
         for _ in range(steps):
             if self.clock.now() >= until:
@@ -169,9 +170,9 @@
             for which in living:
                 self.members[which].writer.step()
 
-    @stateful.rule(how=st.sampled_from(["lost", "unanswered", "late"]))
-    def next_write(self, how: str) -> None:
-        self.store.how = how
+    @stateful.rule(write_result=st.sampled_from(["lost", "unanswered", "late"]))
+    def next_write(self, write_result: str) -> None:
+        self.store.write_result = write_result
 
     @stateful.rule()
     def late_write_is_done(self) -> None:
@@ -180,7 +181,7 @@
 
     @stateful.rule(which=MEMBERS)
     def row_comes(self, which: int) -> None:
-        self.members[which].hear(self.store)
+        self.members[which].apply_row(self.store)
 
     @stateful.rule(which=MEMBERS, count=st.integers(0, 1))
     def runs_on_old(self, which: int, count: int) -> None:
@@ -192,7 +193,7 @@
 
     @stateful.rule(which=MEMBERS)
     def killed(self, which: int) -> None:
-        """What it knew is gone, but for the rows."""
+        """The gateway restarts and knows only the rows of the store."""
         self.members[which] = Member(self.names[which], self)
 
     @stateful.invariant()
@@ -203,7 +204,7 @@
 
     @stateful.invariant()
     def what_is_stopped_gets_nothing(self) -> None:
-        """A version that is halted here gets nothing, unless its outcome stands."""
+        """A version halted at a gateway gets no share, unless its rollout completed."""
         for member in self.members:
             rollout = member.rollout
             if rollout.halted and rollout.state is not rollout_state.State.COMPLETED:
--- a/misc/proofs.py
+++ b/misc/proofs.py
@@ -241,7 +241,7 @@
         5,
         "a stream without its end mark is not whole",
         "teststreams.py::test_a_stream_that_cannot_be_resumed_ends_in_an_error_event",
-        (Edit("agent_run.py", "return stream.whole", "return True"),),
+        (Edit("agent_run.py", "return stream.is_complete", "return True"),),
     ),
     Proof(
         6,
@@ -264,7 +264,7 @@
         (
             Edit(
                 "agent_hub.py",
-                "never_came = peer.note(msg.attempt)",
+                "never_came = peer.record_attempt(msg.attempt)",
                 "never_came = msg.attempt not in peer.seen",
             ),
         ),
@@ -354,7 +354,13 @@
         7,
         "an outcome that could not be written is written later",
         "testclaims.py::test_an_outcome_is_written_once_the_table_is_back",
-        (Edit("claims.py", "            self._remember(outcome)", "            pass"),),
+        (
+            Edit(
+                "claims.py",
+                "            self._queue_outcome(outcome)",
+                "            pass",
+            ),
+        ),
     ),
     Proof(
         8,
@@ -504,7 +510,7 @@
         "a new agent carries out no order before it knows the epoch",
         "testconfig.py::test_a_new_agent_carries_out_no_order_while_the_epoch_is"
         "_unknown",
-        (Edit("agent_orders.py", "if not self._confirmed:", "if False:"),),
+        (Edit("agent_orders.py", "if not self._has_read_lease:", "if False:"),),
     ),
     Proof(
         10,
