--- a/gaprock/agent_gate.py
+++ b/gaprock/agent_gate.py
@@ -1,8 +1,9 @@
 """Admission of requests to an agent's endpoints.
 
 The last check before a request reaches an endpoint is made here, by the newest
-configuration that the entry or this agent knows.  The endpoint's admission plug-in
-then starts, queues or refuses the request.  Each running request has a thread.
+configuration that either the entry or this agent knows.  The endpoint's admission
+plug-in then starts, queues or refuses the request.  Each running request has a
+thread of its own.
 """
 
 import math
@@ -406,7 +407,7 @@
     def _service_s(self, slot: Slot) -> float:
         """Return the mean time of a run; it decays while no run ends.
 
-        An endpoint that has had no run reports 0, so that it is sent some.
+        An endpoint that has had no run reports 0, so that it gets requests.
         """
         if not slot.last_ended_at:
             return 0.0
--- a/gaprock/agent_main.py
+++ b/gaprock/agent_main.py
@@ -97,7 +97,10 @@
             task.start()
 
     def stop(self) -> None:
-        """Carry out a planned stop; requests in flight have ``drain_s`` to end."""
+        """Carry out a planned stop.
+
+        No request in flight is cut that ends within ``drain_s``.
+        """
         self.gate.leaving = True
         self.hub.report_now()
         eventlog.info("leaving", running=self.hub.open_runs)
--- a/gaprock/agent_run.py
+++ b/gaprock/agent_run.py
@@ -125,7 +125,7 @@
                 self._post(self.peer, end)
 
     def ack(self, upto: int) -> None:
-        """Forget the parts below ``upto``, which the entry has acknowledged."""
+        """Drop the acknowledged parts, those below ``upto``, and move the window."""
         with self._cond:
             while (
                 self._unacked and self._unacked[0].seq + self._unacked[0].count <= upto
@@ -137,7 +137,8 @@
     def resend(self, upto: int) -> None:
         """Post the kept parts from ``upto`` on, and the end, again.
 
-        The parts below ``upto`` are kept: the caller may not have read them yet.
+        This does not acknowledge the parts below ``upto``: the caller may not have
+        read them yet.
         """
         with self._cond:
             for part in self._unacked:
--- a/gaprock/bills.py
+++ b/gaprock/bills.py
@@ -112,9 +112,12 @@
             return {owner for held in self._held.values() for owner in held.owners}
 
     def schedule_bills_of(self, owner: str, write_at: float) -> None:
-        """Write the bills that a process holds copies of at ``write_at`` at the latest.
+        """Bring the writing of the bills that a process also holds forward.
 
-        Called when that process is gone and will not write them itself.
+        Called when that process is gone, so that it will not write them itself, and
+        when this process stops.
+
+        :param write_at: when to write them at the latest.
         """
         with self._lock:
             for held in self._held.values():
--- a/gaprock/services_http.py
+++ b/gaprock/services_http.py
@@ -11,10 +11,10 @@
 
 DEFAULT_RETRY_S: typing.Final = 1.0
 POOL_SIZE: typing.Final = 16
-# Consecutive failures after which the circuit breaker opens and calls to the table fail
-# at once ...
+# After this many consecutive failures the circuit breaker opens: table calls fail at
+# once ...
 BREAKER_FAILURES: typing.Final = 2
-# ... until it lets one call through after this time.
+# ... until this time has passed; then one call is let through as a test.
 BREAKER_RESET_S: typing.Final = 1.0
 
 
--- a/gaprock/test/testbills.py
+++ b/gaprock/test/testbills.py
@@ -67,7 +67,7 @@
         assert row.value["cost"] == 2.0
 
 
-def test_an_entrys_bill_goes_before_that_of_an_attempt_it_gave_up() -> None:
+def test_an_entrys_bill_replaces_that_of_an_abandoned_attempt() -> None:
     table, now = tables.TableFake(), clock.Clock()
     agent = bills.BillBuffer(table, bills.AGENT, 10, now)
     entry = bills.BillBuffer(table, bills.ENTRY, 10, now)
--- a/gaprock/test/testownbackoff.py
+++ b/gaprock/test/testownbackoff.py
@@ -10,7 +10,7 @@
     s.engines[name].faults |= {"refuse": True, **faults}
 
 
-def test_an_engine_that_sheds_load_draws_no_requests_in_its_backoff() -> None:
+def test_an_engine_that_sheds_load_gets_no_requests_in_its_backoff() -> None:
     with site.Site() as s:
         s.start()
         shed(s, "a", retry_after="5")
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("text", ["soon", "-1", "nan", "1e400", "", "9" * 1000])
-def test_a_time_that_cannot_be_read_is_a_refusal_all_the_same(text: str) -> None:
+def test_an_invalid_retry_after_is_still_a_refusal(text: str) -> None:
     with site.Site() as s:
         s.start()
         shed(s, "a", retry_after=text)
--- a/gaprock/test/testtakeover.py
+++ b/gaprock/test/testtakeover.py
@@ -175,12 +175,12 @@
         self.store.write_result = write_result
 
     @stateful.rule()
-    def late_write_is_done(self) -> None:
+    def late_write_is_applied(self) -> None:
         if self.store.late:
             self.store.write(self.store.late.pop(0))
 
     @stateful.rule(which=MEMBERS)
-    def row_comes(self, which: int) -> None:
+    def row_arrives(self, which: int) -> None:
         self.members[which].apply_row(self.store)
 
     @stateful.rule(which=MEMBERS, count=st.integers(0, 1))
@@ -203,7 +203,7 @@
         assert not finals or self.store.history[-1] == finals[0]
 
     @stateful.invariant()
-    def what_is_stopped_gets_nothing(self) -> None:
+    def halted_version_gets_no_share(self) -> None:
         """A version halted at a gateway gets no share, unless its rollout completed."""
         for member in self.members:
             rollout = member.rollout
--- a/misc/proofs.py
+++ b/misc/proofs.py
@@ -153,7 +153,7 @@
     Proof(
         4,
         "the entry's bill goes before an agent's",
-        "testbills.py::test_an_entrys_bill_goes_before_that_of_an_attempt_it_gave_up",
+        "testbills.py::test_an_entrys_bill_replaces_that_of_an_abandoned_attempt",
         (
             Edit(
                 "bills.py",
