--- a/gaprock/agent_gate.py
+++ b/gaprock/agent_gate.py
@@ -45,8 +45,8 @@
 CUT_CODES: typing.Final = frozenset(
     (errorcodes.OUTCOME_UNKNOWN.number, errorcodes.STREAM_CUT.number)
 )
-# Part of an incarnation's name: sets those that this process counted apart from those
-# that an earlier agent process counted.
+# Part of an incarnation's name: distinguishes the incarnations counted by this process
+# from those counted by an earlier agent process.
 _PROCESS_TOKEN: typing.Final = ids.new_token()
 # The reported mean time of a run halves each time this long passes without a run's
 # end, so that an endpoint that was slow once is tried again.
@@ -360,7 +360,7 @@
 
     def _release(self, slot: Slot, run: agent_run.Run, refused: bool) -> None:
         assert run.ticket is not None
-        # The time to an unstreamed answer depends on its length more than on the load.
+        # The time to an unstreamed answer depends on its length, not the load.
         first_s = run.first_s if run.start.stream else -1.0
         result = policy_api.RunResult(first_s, refused)
         with slot.lock:
--- a/gaprock/test/testtakeover.py
+++ b/gaprock/test/testtakeover.py
@@ -37,7 +37,7 @@
 
 
 class ModelStore(gateway_api.SharedStore):
-    """Keeps the row of the outcome; the state machine sets the fate of each write."""
+    """Keeps the row of the outcome; the state machine sets the result of each write."""
 
     __slots__ = ("version", "row", "history", "write_result", "late")
 
@@ -46,7 +46,7 @@
         self.version = 1
         self.row: gateway_api.Row | None = None
         self.history: list[str] = []
-        # The fate of the next write: answered, unanswered, late or lost.
+        # The result of the next write: answered, unanswered, late or lost.
         self.write_result = "answered"
         self.late: list[gateway_api.Write] = []
 
