--- a/misc/proofs.py
+++ b/misc/proofs.py
@@ -153,7 +153,7 @@
     Proof(
         4,
         "the entry's bill goes before an agent's",
-        "testbills.py::test_an_entrys_bill_goes_before_that_of_an_attempt_it_gave_up",
+        "testbills.py::test_an_entrys_bill_replaces_that_of_an_abandoned_attempt",
         (
             Edit(
                 "bills.py",
@@ -241,7 +241,7 @@
         5,
         "a stream without its end mark is not whole",
         "teststreams.py::test_a_stream_that_cannot_be_resumed_ends_in_an_error_event",
-        (Edit("agent_run.py", "return stream.whole", "return True"),),
+        (Edit("agent_run.py", "return stream.is_complete", "return True"),),
     ),
     Proof(
         6,
@@ -263,7 +263,7 @@
         (
             Edit(
                 "agent_hub.py",
-                "never_came = peer.note(msg.attempt)",
+                "never_came = peer.record_attempt(msg.attempt)",
                 "never_came = msg.attempt not in peer.seen",
             ),
         ),
@@ -353,7 +353,13 @@
         7,
         "an outcome that could not be written is written later",
         "testclaims.py::test_an_outcome_is_written_once_the_table_is_back",
-        (Edit("claims.py", "            self._remember(outcome)", "            pass"),),
+        (
+            Edit(
+                "claims.py",
+                "            self._queue_outcome(outcome)",
+                "            pass",
+            ),
+        ),
     ),
     Proof(
         8,
@@ -503,7 +509,7 @@
         "a new agent carries out no order before it knows the epoch",
         "testconfig.py::test_a_new_agent_carries_out_no_order_while_the_epoch_is"
         "_unknown",
-        (Edit("agent_orders.py", "if not self._confirmed:", "if False:"),),
+        (Edit("agent_orders.py", "if not self._has_read_lease:", "if False:"),),
     ),
     Proof(
         10,
