--- a/gaprock/entry_attempt.py
+++ b/gaprock/entry_attempt.py
@@ -1,8 +1,9 @@
-"""One attempt of a request at one agent, as the entry sees it.
+"""One attempt to run a request through an agent, on the entry's side.
 
-The link's thread delivers parts and the end; the HTTP thread takes them.  Parts
-are taken strictly by number, so a late, doubled or crossed one changes nothing,
-and the end counts only when all parts before it are there.
+The link's thread delivers the answer's parts and its end; the HTTP thread reads
+them.  Parts are accepted strictly in the order of their numbers, so one that is late,
+duplicated or out of order changes nothing.  The end takes effect only when all parts
+before it have arrived.
 """
 
 import collections
@@ -12,11 +13,11 @@
 
 
 class Attempt:
-    """The answer under way.
+    """An attempt and the parts of its answer; used by the two threads.
 
     :param number: the attempt's number on its link.
-    :param start: the message that opened it.
-    :param incarnation: the agent process that it was sent to.
+    :param start: the message that started it.
+    :param incarnation: the agent's incarnation that it was sent to.
     """
 
     __slots__ = (
@@ -24,7 +25,7 @@
         "start",
         "incarnation",
         "sent_at",
-        "asked_at",
+        "checked_at",
         "_cond",
         "_parts",
         "_next",
@@ -41,8 +42,8 @@
         self.start = start
         self.incarnation = incarnation
         self.sent_at = sent_at
-        # When the link last heard of this attempt, or asked for news of it.
-        self.asked_at = sent_at
+        # When the link last received a message on this attempt or asked for one.
+        self.checked_at = sent_at
         self._cond = threading.Condition()
         self._parts: collections.deque[bytes] = collections.deque()
         self._next = 0
@@ -53,26 +54,26 @@
 
     @property
     def next_part(self) -> int:
-        """The number of the first part that is not here yet."""
+        """The number of the first part that has not arrived."""
         return self._next
 
     @property
     def taken(self) -> int:
-        """Parts that the caller's side has taken."""
+        """The number of parts that the HTTP thread has read."""
         return self._taken
 
     @property
     def started(self) -> bool:
-        """Whether any part has come."""
+        """Whether any part has arrived."""
         return self._next > 0
 
     def deliver(self, part: messages.Part) -> bool:
-        """Take parts from the link.
+        """Accept parts from the link.
 
-        :returns: false when parts before them are missing.
+        :returns: false when parts before these are missing.
         """
         with self._cond:
-            if self.closed or self._end_complete() or part.seq < self._next:
+            if self.closed or self._is_complete() or part.seq < self._next:
                 return True
             if part.seq > self._next:
                 return False
@@ -82,9 +83,9 @@
             return True
 
     def finish(self, end: messages.End) -> bool:
-        """Take the end from the link.
+        """Accept the end from the link.
 
-        :returns: false when parts before it are missing.
+        :returns: false when parts before the end are missing.
         """
         with self._cond:
             if self._end is None:
@@ -93,16 +94,17 @@
             return self._next >= end.count
 
     def fail(self, exc: errors.GaprockError) -> None:
-        """End the attempt without an end from the agent."""
+        """End the attempt with an error, without an end from the agent."""
         with self._cond:
-            if self._failure is None and not self._end_complete():
+            if self._failure is None and not self._is_complete():
                 self._failure = exc
             self._cond.notify_all()
 
     def wait_first(self, deadline: float, clock_: clock.Clock) -> None:
-        """Wait until the first part or the end is there.
+        """Wait until the first part or the end has arrived.
 
-        :raises errors.GaprockError: the refusal, the failure, or the deadline.
+        :raises errors.GaprockError: when the attempt was refused or failed, or the
+            deadline passed.
         """
         with self._cond:
             self._wait(deadline, clock_)
@@ -111,10 +113,10 @@
             self._raise_failure()
 
     def take(self, deadline: float, clock_: clock.Clock) -> bytes:
-        """Take all parts that are there, waiting for one at least.
+        """Read all parts that have arrived; wait for at least one.
 
-        :returns: the parts, joined; empty at the whole answer's end.
-        :raises errors.GaprockError: when the answer will not be whole.
+        :returns: the parts, joined; empty at the end of a complete answer.
+        :raises errors.GaprockError: when the answer will stay incomplete.
         """
         with self._cond:
             self._wait(deadline, clock_)
@@ -128,23 +130,23 @@
 
     @property
     def end(self) -> messages.End:
-        """The end, once ``take`` gave the empty answer."""
+        """The end; available once ``take`` has returned no data."""
         assert self._end is not None
         return self._end
 
     @property
     def outcome(self) -> messages.End | None:
-        """The end if it is there."""
+        """The end, if it has arrived."""
         return self._end
 
-    def _end_complete(self) -> bool:
+    def _is_complete(self) -> bool:
         return self._end is not None and self._next >= self._end.count
 
     def _wait(self, deadline: float, clock_: clock.Clock) -> None:
-        def is_news() -> bool:
-            return bool(self._parts or self._end_complete() or self._failure)
+        def has_update() -> bool:
+            return bool(self._parts or self._is_complete() or self._failure)
 
-        if not clock.wait_for(self._cond, is_news, deadline, clock_):
+        if not clock.wait_for(self._cond, has_update, deadline, clock_):
             raise self._deadline_passed()
 
     def _deadline_passed(self) -> errors.GaprockError:
--- a/gaprock/entry_call.py
+++ b/gaprock/entry_call.py
@@ -1,4 +1,4 @@
-"""A caller's request, checked: nothing has run before this is done."""
+"""Parsing and checking of callers' requests, before anything is run."""
 
 import typing
 
@@ -18,7 +18,7 @@
 )
 
 CHAT_PATH: typing.Final = "/v1/chat/completions"
-# Characters of the prompt that are taken as its prefix.
+# Characters of the first message whose hash identifies the prompt's prefix.
 PREFIX_CHARS: typing.Final = 512
 MAX_TOKENS: typing.Final = 1_000_000
 
@@ -27,7 +27,7 @@
 
 
 class ChatFields(msgspec.Struct):
-    """The fields of a chat request that are checked; others pass through."""
+    """The fields of a chat request that are checked; others are passed on unchecked."""
 
     model: typing.Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
     messages: typing.Annotated[list[JsonObject], msgspec.Meta(min_length=1)]
@@ -78,14 +78,14 @@
         self.request = request
         self.template = template
         self.workspace = template.workspace
-        # The decoded body of a chat; a call to a service is passed on as it is.
+        # The decoded body; only a chat is encoded again, with its version as model.
         self.fields = fields
         self.raw = raw
         self.stream = stream
         self.deadline = deadline
         self.first_part_by = min(deadline, now + template.first_part_s)
         if not stream:
-            # A whole answer has all its time to wait in.
+            # Without a stream, only the deadline limits how long the call may queue.
             self.first_part_by = deadline
         self.session: sessions.Session | None = None
         # The session's token as the caller sent it.
@@ -95,31 +95,31 @@
 
     @property
     def mark(self) -> int:
-        """The request's mark."""
+        """The request's fingerprint."""
         return request_fingerprint.fingerprint_of(
             self.workspace, self.template.name, self.digest, b""
         )
 
     @property
     def bill_key(self) -> str:
-        """The key of the request's bill."""
+        """The key under which the request's bill is stored."""
         return bills.key_of(self.workspace, self.request, self.digest)
 
     def body_for(self, version: str) -> bytes:
-        """Give the body that an endpoint gets for a version."""
+        """Return the body to send to an endpoint for a version."""
         if self.template.kind == documents.CALL:
             return self.raw
         return msgspec.json.encode({**self.fields, "model": version})
 
     @property
     def path(self) -> str:
-        """The endpoint's path."""
+        """The path to call at the endpoint."""
         is_call = self.template.kind == documents.CALL
         return self.template.path if is_call else CHAT_PATH
 
 
 class Parser:
-    """Checks requests against the configuration."""
+    """Parses requests and checks them against the configuration."""
 
     __slots__ = ("_cfg", "_clock", "_config", "_signer")
 
@@ -136,32 +136,32 @@
         self._signer = signer
 
     def workspace(self, headers: Headers) -> str:
-        """Find the caller's workspace.
+        """Return the caller's workspace.
 
         :raises errors.GaprockError: ``NOT_READY`` or ``UNAUTHORIZED``.
         """
         if not self._config.ready:
             raise errors.GaprockError(errorcodes.NOT_READY, "", self._clock.now() + 1.0)
-        workspace = self._config.workspace_of(bearer(headers))
+        workspace = self._config.workspace_of(bearer_key(headers))
         if workspace is None:
             raise errors.GaprockError(errorcodes.UNAUTHORIZED)
         return workspace
 
     def chat(self, headers: Headers, raw: bytes) -> Call:
-        """Check a chat request.
+        """Parse and check a chat request.
 
         :raises errors.GaprockError: a code of category *not run*.
         """
         workspace = self.workspace(headers)
         fields = decode_object(raw)
-        chat = _convert(fields)
+        chat = _check_fields(fields)
         template = self._template(workspace, chat.model, documents.CHAT)
         call = self._call(headers, template, fields, raw, chat.stream)
-        call.prefix = _prefix(workspace, chat)
+        call.prefix = _prefix_digest(workspace, chat)
         return call
 
     def service_call(self, headers: Headers, name: str, raw: bytes) -> Call:
-        """Check a call to a plain service.
+        """Parse and check a call to a plain service.
 
         :raises errors.GaprockError: a code of category *not run*.
         """
@@ -171,7 +171,7 @@
         return self._call(headers, template, fields, raw, False)
 
     def session_request(self, headers: Headers, raw: bytes) -> documents.Template:
-        """Check a request to open a session.
+        """Parse and check a request to open a session; return its template.
 
         :raises errors.GaprockError: a code of category *not run*.
         """
@@ -183,9 +183,10 @@
         return self._template(workspace, fields.template, documents.CHAT)
 
     def request_id(self, headers: Headers, template: documents.Template) -> str:
-        """Give the request's id: the caller's, or a new one.
+        """Return the caller's request id, or a new one if there is none.
 
-        :raises errors.GaprockError: when the caller's id does not fit.
+        :raises errors.GaprockError: when the caller's id is missing for a
+            non-repeatable template, or is invalid.
         """
         given = headers.get("idempotency-key", "")
         if not template.repeatable:
@@ -221,7 +222,7 @@
     def _deadline(
         self, headers: Headers, template: documents.Template, now: float
     ) -> float:
-        """Give the earlier of the caller's deadline and the template's limit."""
+        """Return the earlier of the caller's deadline and the template's time limit."""
         latest = now + template.time_limit_s
         given = headers.get("x-gaprock-deadline", "")
         if not given:
@@ -233,14 +234,14 @@
                 errorcodes.BAD_REQUEST,
                 "X-Gaprock-Deadline takes seconds since the epoch",
             ) from exc
-        # Written so that it is true of "not a number" as well.
+        # Negated so that a NaN is rejected as well.
         if not deadline > now:
             raise errors.GaprockError(errorcodes.DEADLINE_PAST)
         return min(deadline, latest)
 
 
-def bearer(headers: Headers) -> str:
-    """Give the bearer key of a request; empty when there is none."""
+def bearer_key(headers: Headers) -> str:
+    """Return the bearer key of a request, or an empty string."""
     scheme, _, key = headers.get("authorization", "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
@@ -256,14 +257,14 @@
         raise errors.GaprockError(errorcodes.BAD_REQUEST, str(exc)) from exc
 
 
-def _convert(fields: JsonObject) -> ChatFields:
+def _check_fields(fields: JsonObject) -> ChatFields:
     try:
         return msgspec.convert(fields, ChatFields)
     except msgspec.ValidationError as exc:
         raise errors.GaprockError(errorcodes.BAD_REQUEST, str(exc)) from exc
 
 
-def _prefix(workspace: str, chat: ChatFields) -> str:
-    """Give a digest of the prompt's first characters."""
+def _prefix_digest(workspace: str, chat: ChatFields) -> str:
+    """Return a digest of the workspace and the prompt's first characters."""
     first = str(chat.messages[0].get("content", ""))[:PREFIX_CHARS]
     return ids.digest(f"{workspace}\0{first}".encode("utf-8", "surrogatepass"))
--- a/gaprock/entry_dispatch.py
+++ b/gaprock/entry_dispatch.py
@@ -1,7 +1,8 @@
-"""Getting one endpoint to run a call: choice, attempt, and tries elsewhere.
+"""Dispatch of a call to an endpoint, with retries on others.
 
-A refusal that is *not run* is tried on another endpoint within the retry budget.  An
-attempt whose outcome is unknown is tried elsewhere only if the call may be repeated.
+A call that an endpoint refused as *not run* is retried on another endpoint within the
+retry budget.  An attempt whose outcome is unknown is retried only if the call is
+repeatable.
 """
 
 import random
@@ -29,59 +30,59 @@
 )
 
 NO_ENDPOINT_RETRY_S: typing.Final = 1.0
-# Refusals that are no sign of load; trying elsewhere does not use up the budget.
-FREE_RETRIES: typing.Final = (
+# Refusals that do not indicate load; retrying after them costs no retry budget.
+UNBUDGETED_CODES: typing.Final = (
     errorcodes.LEAVING,
     errorcodes.BEHIND,
     errorcodes.ENDPOINT_UNREACHABLE,
 )
-MAX_FREE_RETRIES: typing.Final = 8
-# An endpoint that lacks a revision is asked again for so long, and so often, seconds; a
-# delta is there within some milliseconds.
-BEHIND_S: typing.Final = 1.0
-BEHIND_LOOK_S: typing.Final = 0.02
-# Refusals after which another endpoint may still serve.
-RETRIED: typing.Final = (
-    *FREE_RETRIES,
+MAX_UNBUDGETED_RETRIES: typing.Final = 8
+# How long, and at which interval, an endpoint whose agent lacks a revision is tried
+# again; the agent gets the missing delta within a few milliseconds.
+BEHIND_WAIT_S: typing.Final = 1.0
+BEHIND_RECHECK_S: typing.Final = 0.02
+# Refusals after which another endpoint may still run the call.
+RETRIABLE_CODES: typing.Final = (
+    *UNBUDGETED_CODES,
     errorcodes.OVERLOADED,
     errorcodes.ENDPOINT_REFUSED,
     errorcodes.NO_ENDPOINT,
     errorcodes.BILLS_FULL,
     errorcodes.NOT_READY,
 )
-# Waited beyond a deadline, so that the agent's own word on it comes first, seconds.
+# Waited beyond a deadline, so that the agent's own answer about it arrives first.
 DEADLINE_GRACE_S: typing.Final = 0.25
 
 
-class Tried(typing.NamedTuple):
-    """An attempt whose first part or end is there, and its link."""
+class StartedAttempt(typing.NamedTuple):
+    """An attempt whose first part or end has arrived, and its link."""
 
     link: entry_link.AgentLink
     attempt: entry_attempt.Attempt
 
 
 class Progress:
-    """What a request has used so far, over all its attempts."""
+    """The state of a request over all its attempts."""
 
-    __slots__ = ("lines", "owners", "best", "version")
+    __slots__ = ("lines", "owners", "last_answer", "version")
 
     def __init__(self) -> None:
         self.lines: list[messages.BillLine] = []
-        # Addresses of the agents that hold a copy of the bill.
+        # Addresses of the agents that keep a copy of the bill.
         self.owners: list[str] = []
-        # The last whole answer, and its version.
-        self.best: answers.Answer | None = None
+        # The last complete answer, and the version that gave it.
+        self.last_answer: answers.Answer | None = None
         self.version = ""
 
-    def note_bill(self, bill: messages.Bill | None, owner: str) -> None:
-        """Take the bill of an attempt; it names the earlier ones too."""
+    def record_bill(self, bill: messages.Bill | None, owner: str) -> None:
+        """Record an attempt's bill, which includes the lines of earlier attempts."""
         if bill is not None:
             self.lines = bill.lines
             self.owners.append(owner)
 
 
 class Dispatcher:
-    """Sends calls to endpoints; safe for all threads."""
+    """Sends calls to endpoints; thread-safe."""
 
     __slots__ = (
         "_cfg",
@@ -121,25 +122,28 @@
         self._rng = random.Random()
         self.budget = entry_budget.RetryBudget(cfg.retry_share)
 
-    def start(self, call: entry_call.Call, version: str, progress: Progress) -> Tried:
-        """Get an endpoint to run the call, trying others after *not run*.
+    def start(
+        self, call: entry_call.Call, version: str, progress: Progress
+    ) -> StartedAttempt:
+        """Start the call on an endpoint; after *not run*, retry it on others.
 
-        :raises errors.GaprockError: the last refusal, or a failure that leaves
-            open whether the call ran and does not allow another try.
+        :raises errors.GaprockError: the refusal to report, or a failure that leaves
+            the outcome unknown and allows no retry.
         """
         self.budget.record_first()
         excluded: set[str] = set()
         behind: set[str] = set()
-        behind_until = min(call.deadline, self._clock.now() + BEHIND_S)
-        free_retries = 0
+        behind_until = min(call.deadline, self._clock.now() + BEHIND_WAIT_S)
+        unbudgeted_retries = 0
         refusal: errors.GaprockError | None = None
         while True:
             self._refuse_held(call, refusal)
             candidate = self._route(call, version, excluded)
             if candidate is None and behind and self._clock.now() < behind_until:
-                # The only ones left lack a revision that is on its way to them; with
-                # one agent each change refused what came in that instant.
-                threading.Event().wait(BEHIND_LOOK_S)
+                # The endpoints left lack only a revision that is on its way to them.
+                # Without this wait, each change in a deployment with one agent would
+                # refuse the requests that arrive at that moment.
+                threading.Event().wait(BEHIND_RECHECK_S)
                 excluded -= behind
                 behind.clear()
                 continue
@@ -149,11 +153,14 @@
                 return self._attempt(call, version, candidate, progress)
             except errors.GaprockError as exc:
                 excluded.add(candidate.name)
-                refusal = _earlier(refusal, exc)
+                refusal = _refusal_to_report(refusal, exc)
                 if exc.code is errorcodes.BEHIND:
                     behind.add(candidate.name)
-                elif exc.code in FREE_RETRIES and free_retries < MAX_FREE_RETRIES:
-                    free_retries += 1
+                elif (
+                    exc.code in UNBUDGETED_CODES
+                    and unbudgeted_retries < MAX_UNBUDGETED_RETRIES
+                ):
+                    unbudgeted_retries += 1
                 elif not self._may_retry(call, exc):
                     raise refusal
                 self._metrics.incr("entry.retries")
@@ -161,9 +168,9 @@
     def _refuse_held(
         self, call: entry_call.Call, refusal: errors.GaprockError | None
     ) -> None:
-        """Give a call up whose request ended the endpoints that ran it.
+        """Refuse a call whose request is in quarantine for ending its endpoints.
 
-        :param refusal: what became of its sends so far.
+        :param refusal: the refusal to report for its sends so far, if any.
         """
         if self._quarantine.is_empty:
             return
@@ -172,7 +179,7 @@
             held = errors.GaprockError(
                 errorcodes.HELD, f"mark {call.mark:016x}", self._clock.now() + held_s
             )
-            raise _earlier(refusal, held)
+            raise _refusal_to_report(refusal, held)
 
     def _route(
         self,
@@ -198,25 +205,25 @@
         version: str,
         candidate: policy_api.Candidate,
         progress: Progress,
-    ) -> Tried:
-        """Send the call to one endpoint and wait for its first part."""
+    ) -> StartedAttempt:
+        """Send the call to one endpoint and wait for the first part or the end."""
         link = self._links.get(candidate.agent)
         if link is None:
             raise errors.GaprockError(errorcodes.ENDPOINT_UNREACHABLE, candidate.name)
-        # A paused process may wake up here long after it was chosen to run.
+        # A suspended process may resume here long after the endpoint was chosen.
         if call.deadline <= self._clock.now():
             raise errors.GaprockError(errorcodes.DEADLINE_PAST)
         attempt = link.open(self._message(call, version, candidate, progress))
-        self._links.note_prefix(call.prefix, candidate.name)
+        self._links.record_prefix(call.prefix, candidate.name)
         try:
             attempt.wait_first(call.deadline + DEADLINE_GRACE_S, self._clock)
         except errors.GaprockError as exc:
-            self._note_failure(call, version, attempt, progress, link)
-            link.close(attempt, is_superseded=self._is_retried(call, exc))
+            self._record_failure(call, version, attempt, progress, link)
+            link.close(attempt, is_superseded=self._is_retriable(call, exc))
             raise
-        return Tried(link, attempt)
+        return StartedAttempt(link, attempt)
 
-    def _note_failure(
+    def _record_failure(
         self,
         call: entry_call.Call,
         version: str,
@@ -226,8 +233,8 @@
     ) -> None:
         end = attempt.outcome
         if end is not None:
-            self._judge.conclude(call.template, version, end, call.raw, None)
-            progress.note_bill(end.bill, link.address)
+            self._judge.record_outcome(call.template, version, end, call.raw, None)
+            progress.record_bill(end.bill, link.address)
 
     def _message(
         self,
@@ -260,26 +267,30 @@
             mark=call.mark,
         )
 
-    def _is_retried(self, call: entry_call.Call, exc: errors.GaprockError) -> bool:
-        """Whether another try is allowed by the kind of failure."""
+    def _is_retriable(self, call: entry_call.Call, exc: errors.GaprockError) -> bool:
+        """Whether this kind of failure allows a retry."""
         if exc.not_run:
-            return exc.code in RETRIED
+            return exc.code in RETRIABLE_CODES
         lost = exc.code is errorcodes.OUTCOME_UNKNOWN
         return lost and call.template.repeatable
 
     def _may_retry(self, call: entry_call.Call, exc: errors.GaprockError) -> bool:
         in_time = self._clock.now() < call.deadline
-        return in_time and self._is_retried(call, exc) and self.budget.spend_retry()
+        return in_time and self._is_retriable(call, exc) and self.budget.spend_retry()
 
     def no_endpoint(self, detail: str) -> errors.GaprockError:
         retry_at = self._clock.now() + NO_ENDPOINT_RETRY_S * (1 + self._rng.random())
         return errors.GaprockError(errorcodes.NO_ENDPOINT, detail, retry_at)
 
 
-def _earlier(
+def _refusal_to_report(
     old: errors.GaprockError | None, new: errors.GaprockError
 ) -> errors.GaprockError:
-    """Give the refusal to report: an open outcome, else the earliest time."""
+    """Return the refusal to report.
+
+    An unknown outcome takes precedence; of two refusals the one with the earlier
+    retry time, else the newer one.
+    """
     if old is None or not new.not_run:
         return new
     if not old.not_run:
--- a/gaprock/entry_duties.py
+++ b/gaprock/entry_duties.py
@@ -1,12 +1,12 @@
-"""Control duties: done by the one entry that holds the lease.
+"""Control duties of the one entry that holds the control lease.
 
-1. Keep the lease.
-2. Advance each running rollout when the answers of its step were judged.
+1. Renew the lease.
+2. Advance each running rollout once enough answers of its step are rated.
 3. Place versions before planned starts, by fenced orders to engines.
-4. Trim the configuration's log and collect claims past their retention.
+4. Trim the configuration's log and delete claims past their retention time.
 
-Every write carries the lease's condition and every order its epoch, so a holder
-that was paused and wakes up does no harm.
+Each write is conditional on the lease and each order carries its epoch, so a holder
+that resumes after a suspension, when another holds the lease, does no harm.
 """
 
 import typing
@@ -33,20 +33,20 @@
     services_api,
 )
 
-# A planned start is prepared this long before, seconds.
-PREPARE_S: typing.Final = 600.0
-# ... and counts as planned for this long after it, seconds.
-START_LASTS_S: typing.Final = 300.0
-# An order that was not answered by then is taken as lost, seconds.
-ORDER_WAIT_S: typing.Final = 60.0
-# Rows looked at in one step of collecting claims.
-COLLECT_PAGE: typing.Final = 200
-# Seconds between two steps of upkeep.
-UPKEEP_S: typing.Final = 10.0
+# A planned start is prepared for this long before it.
+PLANNED_START_LEAD_S: typing.Final = 600.0
+# A planned start adds to the expected demand until this long after it.
+PLANNED_START_DURATION_S: typing.Final = 300.0
+# An order without an answer after this time is taken as lost.
+ORDER_TIMEOUT_S: typing.Final = 60.0
+# Rows read in one step of deleting old claims.
+CLAIMS_PAGE_ROWS: typing.Final = 200
+# The time between two runs of the upkeep.
+UPKEEP_INTERVAL_S: typing.Final = 10.0
 
 
 class Duties:
-    """The duties, one step at a time; used by one thread."""
+    """The control duties, a step at a time; used by one thread."""
 
     def __init__(
         self,
@@ -70,12 +70,12 @@
         self._evidence = evidence_
         self._placement = placement
         self._orders: list[futures.Future[messages.OrderDone]] = []
-        self._orders_until = 0.0
-        self._upkeep_at = 0.0
+        self._orders_deadline = 0.0
+        self._next_upkeep_at = 0.0
         self._collect_after = ""
 
     def step(self) -> None:
-        """Do one round.
+        """Refresh the lease and, while it is held, carry out each duty once.
 
         :raises services_api.PlatformError: when the table did not answer.
         """
@@ -89,12 +89,12 @@
             eventlog.info("lease-taken", epoch=self._lease.epoch)
         self._advance_rollouts()
         self._place()
-        if self._clock.now() >= self._upkeep_at:
-            self._upkeep_at = self._clock.now() + UPKEEP_S
-            self._keep_up()
+        if self._clock.now() >= self._next_upkeep_at:
+            self._next_upkeep_at = self._clock.now() + UPKEEP_INTERVAL_S
+            self._run_upkeep()
 
     def stop(self) -> None:
-        """Give up the lease."""
+        """Release the lease."""
         self._lease.release()
 
     # -- Rollouts --
@@ -105,16 +105,16 @@
                 self._advance(rollout)
 
     def _advance(self, rollout: documents.Rollout) -> None:
-        """Take a rollout's next step if the evidence of this one is in.
+        """Advance a rollout if enough answers of its current step are rated.
 
-        Only rated answers count: without ratings a rollout stands still.
+        Only rated answers count, so without ratings a rollout does not advance.
         """
         if self._config.halted(rollout.version):
             return
         rated = self._evidence.totals(
             self._config.evidence_label(rollout.version)
         ).rated
-        # A sum may be lower than before when the processes that counted are gone.
+        # The sum decreases when processes whose counts it included are gone.
         before = rollout.judged_before if rated >= rollout.judged_before else 0
         if rated - before < rollout.answers_per_step:
             return
@@ -130,7 +130,7 @@
                 following, self._config.revision, [self._lease.condition()]
             )
         except errors.GaprockError as exc:
-            # An operator's change came first, or the lease is another's by now.
+            # An operator's change came first, or another entry holds the lease.
             eventlog.info("rollout-not-advanced", version=rollout.version, error=exc)
             return
         eventlog.info(
@@ -144,9 +144,9 @@
     # -- Placement --
 
     def _place(self) -> None:
-        """Ask for the next moves once the last ones are answered."""
+        """Order the next moves once the previous orders are answered or lost."""
         now = self._clock.now()
-        if any(not fut.done() for fut in self._orders) and now < self._orders_until:
+        if any(not fut.done() for fut in self._orders) and now < self._orders_deadline:
             return
         self._orders = []
         states = [
@@ -162,10 +162,10 @@
         demands = expected_demands(self._config, now)
         for move in self._placement.plan(states, demands):
             self._order(move)
-        self._orders_until = now + ORDER_WAIT_S
+        self._orders_deadline = now + ORDER_TIMEOUT_S
 
     def _order(self, move: policy_api.Move) -> None:
-        link = self._links.with_endpoint(move.endpoint)
+        link = self._links.find_by_endpoint(move.endpoint)
         if link is None:
             return
         order = messages.Order(
@@ -187,10 +187,10 @@
 
     # -- Upkeep --
 
-    def _keep_up(self) -> None:
+    def _run_upkeep(self) -> None:
         self._store.trim_log(self._config.revision)
-        rows = self._table.scan(claims.KEY, self._collect_after, COLLECT_PAGE)
-        self._collect_after = rows[-1].key if len(rows) == COLLECT_PAGE else ""
+        rows = self._table.scan(claims.KEY, self._collect_after, CLAIMS_PAGE_ROWS)
+        self._collect_after = rows[-1].key if len(rows) == CLAIMS_PAGE_ROWS else ""
         horizon = self._clock.now() - 2 * ids.RETENTION_S
         old = [
             services_api.TableOp(row.key, row.version, delete=True)
@@ -203,10 +203,12 @@
 
 
 def expected_demands(config_: config.Config, now: float) -> list[policy_api.Demand]:
-    """Give the work that each version is expected to get soon.
+    """Return the request rate that is expected soon for each version.
 
-    Every version that a template allows counts, so that it stands somewhere; a
-    planned start adds its rate, spread over what its rollouts leave of the list.
+    Each version that a template allows is included, if only with a rate of 0, so that
+    it is placed on some endpoint.  A planned start adds the template's expected rate,
+    split evenly over the versions; a rollout scales the parts of its two versions by
+    their shares.
     """
     rates: dict[str, float] = {}
     for template in config_.templates():
@@ -217,21 +219,25 @@
             for c in template.versions
             if not config_.withdrawn(c.version) and not config_.halted(c.version)
         ]
-        soon = now + PREPARE_S >= template.planned_start > now - START_LASTS_S
+        soon = (
+            now + PLANNED_START_LEAD_S
+            >= template.planned_start
+            > now - PLANNED_START_DURATION_S
+        )
         rate = template.expected_rate if soon else 0.0
         for version in versions:
-            share = _share(config_, version, versions)
+            share = _list_share(config_, version, versions)
             rates[version] = rates.get(version, 0.0) + rate * share / len(versions)
     return [policy_api.Demand(version, rate) for version, rate in rates.items()]
 
 
-def _share(config_: config.Config, version: str, versions: list[str]) -> float:
-    """Give the part of a version's place in the list that rollouts leave it."""
+def _list_share(config_: config.Config, version: str, versions: list[str]) -> float:
+    """Return the fraction of a version's even part that rollouts leave to it."""
     for rollout in config_.rollouts():
         if rollout.version not in versions or rollout.stable not in versions:
             continue
         if rollout.version == version:
-            return entry_versions.share_of(rollout)
+            return entry_versions.rollout_share(rollout)
         if rollout.stable == version:
-            return 1.0 - entry_versions.share_of(rollout)
+            return 1.0 - entry_versions.rollout_share(rollout)
     return 1.0
--- a/gaprock/entry_guard.py
+++ b/gaprock/entry_guard.py
@@ -1,14 +1,14 @@
-"""Stops versions that evidence shows to be bad; every entry does this by itself.
+"""Halts versions that the evidence shows to be bad; each entry does so on its own.
 
-A stop is a halt: an urgent change that needs no lease and no table.  It ends new
-sessions here at once, and everywhere as heartbeats carry it.
+A halt is an urgent change, which needs neither the lease nor the table.  It stops new
+sessions of the version at once on this entry, and on others as heartbeats spread it.
 """
 
 from gaprock import config, documents, entry_publish, eventlog, evidence, policy_api
 
 
 class GuardTask:
-    """The periodic look at every rollout, ended ones included."""
+    """The periodic check of all rollouts, ended ones included."""
 
     __slots__ = ("_config", "_evidence", "_guard", "_publisher")
 
@@ -24,8 +24,8 @@
         self._guard = guard
         self._publisher = publisher
 
-    def look(self) -> None:
-        """Judge each version that a rollout has brought in."""
+    def check(self) -> None:
+        """Check the version of each rollout unless it is halted or withdrawn."""
         for rollout in self._config.rollouts():
             stopped = self._config.halted(rollout.version)
             if stopped or self._config.withdrawn(rollout.version):
--- a/gaprock/entry_http.py
+++ b/gaprock/entry_http.py
@@ -1,11 +1,12 @@
-"""The entry's HTTP port: CherryPy before the server of calls and the operators' API.
+"""The entry's HTTP port, for calls and the operators' API; served by CherryPy.
 
-CherryPy brings the server, its threads and its bus; ``Root`` is grafted onto its tree
-as a WSGI application, which leaves out the request machinery that a router does not
-need (hooks, tools, encodings: a quarter of a request's processor time).
+CherryPy provides the server, its threads and its bus.  ``Root`` is grafted onto its
+tree as a WSGI application.  This bypasses CherryPy's request handling (hooks, tools,
+encodings), which a router does not need and which takes a quarter of a request's
+processor time.
 
-Callers speak the usual chat-completions shape, so a common client library works
-once its base address points here.
+Callers use the common chat-completions format, so ordinary client libraries work once
+their base URL points to this port.
 """
 
 import http
@@ -29,23 +30,23 @@
     options,
 )
 
-# A caller that takes nothing for this long is disconnected, seconds.
+# A caller whose connection accepts no data for this long is disconnected.
 CALLER_SILENT_S: typing.Final = 60
 MAX_HEADER_BYTES: typing.Final = 64 * 1024
 LISTEN_BACKLOG: typing.Final = 2048
-CALLS: typing.Final = "/v1/calls/"
-OPERATOR: typing.Final = "/operator/"
-HEADER_PREFIX: typing.Final = "HTTP_"
+CALLS_PREFIX: typing.Final = "/v1/calls/"
+OPERATOR_PREFIX: typing.Final = "/operator/"
+WSGI_HEADER_PREFIX: typing.Final = "HTTP_"
 REASONS: typing.Final = {int(s): s.phrase for s in http.HTTPStatus}
-# Refusals that leave a request's body on the connection.
-UNREAD_BODY: typing.Final = (errorcodes.TOO_LARGE, errorcodes.BAD_REQUEST)
+# Refusals that may leave the request's body unread on the connection.
+UNREAD_BODY_CODES: typing.Final = (errorcodes.TOO_LARGE, errorcodes.BAD_REQUEST)
 
 Environ = dict[str, typing.Any]
 StartResponse = typing.Callable[[str, list[tuple[str, str]]], object]
 
 
 class Health:
-    """Whether the balancer should send callers here."""
+    """Whether the load balancer should send callers to this entry."""
 
     __slots__ = ("leaving", "is_ready")
 
@@ -55,7 +56,7 @@
 
 
 class Inbound:
-    """A request as the server hands it over.
+    """A request as received from the WSGI server.
 
     :param environ: the WSGI environment.
     """
@@ -64,20 +65,21 @@
 
     def __init__(self, environ: Environ) -> None:
         self.method: str = environ["REQUEST_METHOD"]
-        # The server decodes paths as Latin-1, as WSGI has it.
+        # WSGI servers decode paths as Latin-1.
         raw_path = environ["PATH_INFO"].encode("latin-1", "replace")
         self.path = raw_path.decode("utf-8", "replace")
         self.headers = {
-            key[len(HEADER_PREFIX) :].replace("_", "-").lower(): str(value)
+            key[len(WSGI_HEADER_PREFIX) :].replace("_", "-").lower(): str(value)
             for key, value in environ.items()
-            if key.startswith(HEADER_PREFIX)
+            if key.startswith(WSGI_HEADER_PREFIX)
         }
         self.headers["content-length"] = str(environ.get("CONTENT_LENGTH") or "")
         self._input = environ["wsgi.input"]
 
     def read_body(self, limit: int) -> bytes:
-        """Read the body up to a limit.
+        """Read the body.
 
+        :param limit: the largest allowed length in bytes.
         :raises errors.GaprockError: ``TOO_LARGE`` or ``BAD_REQUEST``.
         """
         if self.method in ("GET", "DELETE"):
@@ -95,7 +97,7 @@
 
 
 class Root:
-    """All paths of the port; the server calls it on a thread for each request."""
+    """The WSGI application; the server calls it on one thread for each request."""
 
     def __init__(
         self,
@@ -103,7 +105,7 @@
         config_: config.Config,
         parser: entry_call.Parser,
         server: entry_serve.Server,
-        session_desk: entry_sessions.SessionDesk,
+        session_api: entry_sessions.SessionApi,
         operator: entry_operator.OperatorApi,
         health: Health,
         metrics_: metrics.Metrics,
@@ -112,7 +114,7 @@
         self._config = config_
         self._parser = parser
         self._server = server
-        self._sessions = session_desk
+        self._sessions = session_api
         self._operator = operator
         self._health = health
         self._metrics = metrics_
@@ -120,23 +122,23 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> typing.Iterable[bytes]:
-        """Answer one request; this is the WSGI application."""
-        began_at = time.time()
+        """Answer one request."""
+        started_at = time.time()
         req = Inbound(environ)
         try:
             answer = self._answer(req)
         except errors.GaprockError as exc:
             answer = answers.error_answer(exc, time.time())
-            if exc.code in UNREAD_BODY:
-                # What was not read would be taken for the next request.
+            if exc.code in UNREAD_BODY_CODES:
+                # An unread body would be parsed as the next request.
                 answer.headers["Connection"] = "close"
             self._log_refusal(req, exc)
         except Exception as exc:
-            # A fault of ours: the caller must not take it for "not run".
+            # On an internal error, the caller must not assume "not run".
             eventlog.warning("handler-failed", path=req.path, error=repr(exc))
             fault = errors.GaprockError(errorcodes.OUTCOME_UNKNOWN, "an entry's fault")
             answer = answers.error_answer(fault, time.time())
-        took_ms = (time.time() - began_at) * 1000
+        took_ms = (time.time() - started_at) * 1000
         self._metrics.timing("entry.first", took_ms)
         self._metrics.incr(f"entry.status.{answer.status}")
         return self._write(answer, start_response)
@@ -147,9 +149,9 @@
             return answers.json_answer({"ok": True})
         if path == "/readyz":
             return self._ready()
-        if path.startswith(OPERATOR):
+        if path.startswith(OPERATOR_PREFIX):
             raw = req.read_body(self._cfg.max_body)
-            name = path[len(OPERATOR) :]
+            name = path[len(OPERATOR_PREFIX) :]
             return self._operator.answer(method, name, req.headers, raw)
         if method == "GET" and path == "/v1/models":
             return self._models(req.headers)
@@ -162,8 +164,8 @@
     ) -> answers.Answer:
         if path == entry_call.CHAT_PATH:
             return self._server.serve(self._parser.chat(headers, raw))
-        if path.startswith(CALLS):
-            name = path[len(CALLS) :]
+        if path.startswith(CALLS_PREFIX):
+            name = path[len(CALLS_PREFIX) :]
             return self._server.serve(self._parser.service_call(headers, name, raw))
         if path == "/v1/sessions":
             return self._sessions.open(headers, raw)
@@ -208,7 +210,7 @@
 
 
 def serve(cfg: options.Options, root: Root) -> None:
-    """Open the port; CherryPy serves on threads of its own."""
+    """Open the port; CherryPy serves it on its own threads."""
     cherrypy.config.update(
         {
             "engine.autoreload.on": False,
--- a/gaprock/entry_judge.py
+++ b/gaprock/entry_judge.py
@@ -1,9 +1,10 @@
-"""What each answer says of its version: the entry's evidence.
+"""Collects evidence on versions from their answers.
 
-An answer is bad when the endpoint failed or broke off, when its first part came
-later after the call than the template allows, or when its rating is below the
-template's quality.  The rating service is asked in the background, for a share
-of the answers; it may be limited, late or down, and then no rating counts.
+An answer is bad when the endpoint failed or cut it off, when its first part took
+longer than the template allows, or when its rating is below the template's quality.
+A share of the answers is sent to the rating service in the background; an answer that
+may lead to escalation is rated at once.  Without a rating, as when the service is
+limited, late or down, an answer counts as unrated.
 """
 
 import random
@@ -23,9 +24,9 @@
 )
 
 WORKERS: typing.Final = 4
-# Answers that wait for a rating; more are not rated.
-MAX_WAITING: typing.Final = 500
-# Bytes of an answer that are kept for its rating.
+# Answers that may wait for a rating; further ones are not rated.
+MAX_PENDING: typing.Final = 500
+# Bytes of an answer that are kept for a rating in the background.
 MAX_RATED_BYTES: typing.Final = 64 * 1024
 
 BAD_CODES: typing.Final = (
@@ -35,7 +36,7 @@
 
 
 class Judge:
-    """Counts answers as evidence and asks for ratings; safe for all threads."""
+    """Counts answers as evidence and requests ratings; thread-safe."""
 
     __slots__ = (
         "_cfg",
@@ -44,7 +45,7 @@
         "_config",
         "_evidence",
         "_executor",
-        "_waiting",
+        "_pending",
         "_lock",
         "_rng",
     )
@@ -63,12 +64,12 @@
         self._config = config_
         self._evidence = evidence_
         self._executor = futures.ThreadPoolExecutor(WORKERS, "rating")
-        self._waiting = 0
+        self._pending = 0
         self._lock = threading.Lock()
         self._rng = random.Random()
 
-    def wants_rating(self) -> bool:
-        """Whether the next answer should be kept for a rating."""
+    def should_rate(self) -> bool:
+        """Whether to rate an answer; true for a random ``rating_share`` of calls."""
         return self._rng.random() < self._cfg.rating_share
 
     def rate_now(
@@ -76,7 +77,8 @@
     ) -> float | None:
         """Rate an answer and count it as evidence.
 
-        :returns: ``None`` when the rating service gives no rating now.
+        :param body: the request's body.
+        :returns: ``None`` when the rating service returned no rating.
         """
         rating = self._rater.rate(template.workspace, body, answer)
         if rating is None:
@@ -86,7 +88,7 @@
         self._count(version, rating < template.quality, True)
         return rating
 
-    def conclude(
+    def record_outcome(
         self,
         template: documents.Template,
         version: str,
@@ -94,41 +96,42 @@
         body: bytes,
         answer: bytes | None,
     ) -> None:
-        """Count an answer that nobody waits to see rated.
+        """Count an answer as evidence, after a rating in the background if wanted.
 
-        :param answer: kept for a rating; ``None`` when it is not to be rated.
+        :param body: the request's body.
+        :param answer: the answer to rate; ``None`` when it is not to be rated.
         """
         if self.is_bad(template, end):
             self._count(version, True, False)
-        elif answer is None or not self._has_room():
+        elif answer is None or not self._reserve_rating():
             self._count(version, False, False)
         else:
-            kept = answer[:MAX_RATED_BYTES]
-            self._executor.submit(self._rate_waiting, template, version, body, kept)
+            to_rate = answer[:MAX_RATED_BYTES]
+            self._executor.submit(self._rate_pending, template, version, body, to_rate)
 
     def is_bad(self, template: documents.Template, end: messages.End) -> bool:
-        """Whether the end of an answer speaks against its version."""
+        """Whether an answer with this end counts as bad."""
         return end.code in BAD_CODES or end.first_s > template.first_part_s
 
     def stop(self) -> None:
-        """Give up the ratings that wait."""
+        """Cancel the pending ratings."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _count(self, version: str, bad: bool, rated: bool) -> None:
         self._evidence.count(self._config.evidence_label(version), bad, rated)
 
-    def _rate_waiting(
+    def _rate_pending(
         self, template: documents.Template, version: str, body: bytes, answer: bytes
     ) -> None:
         try:
             self.rate_now(template, version, body, answer)
         finally:
             with self._lock:
-                self._waiting -= 1
+                self._pending -= 1
 
-    def _has_room(self) -> bool:
+    def _reserve_rating(self) -> bool:
         with self._lock:
-            if self._waiting >= MAX_WAITING:
+            if self._pending >= MAX_PENDING:
                 return False
-            self._waiting += 1
+            self._pending += 1
             return True
--- a/gaprock/entry_link.py
+++ b/gaprock/entry_link.py
@@ -1,7 +1,8 @@
-"""An entry's connection to one agent: one thread, one socket.
+"""An entry's connection to one agent, with a thread and a socket of its own.
 
-The thread sends what other threads put into its mailbox, hands arriving parts to
-their attempts, beats, and asks again for attempts it has not heard of for a while.
+The thread sends the messages that other threads put into its mailbox, delivers
+received parts to their attempts, sends heartbeats, and asks the agent to resume
+attempts without recent messages.
 """
 
 import collections
@@ -29,18 +30,18 @@
     wire,
 )
 
-# An attempt without news for this long is asked about, seconds.
-PROBE_S: typing.Final = 1.0
-# Messages read before the mailbox is looked at again.
+# The agent is asked to resume an attempt without messages for this long.
+RESUME_AFTER_S: typing.Final = 1.0
+# Messages received before the mailbox is checked again.
 READ_BURST: typing.Final = 200
-# Replaced attempts that are remembered.
-MAX_VOID: typing.Final = 10_000
-# A configuration push is not repeated sooner than this, seconds.
-PUSH_AGAIN_S: typing.Final = 1.0
+# Superseded attempts that are remembered, so that their bills are dropped.
+MAX_SUPERSEDED: typing.Final = 10_000
+# The shortest time between two pushes of the same configuration revision.
+PUSH_INTERVAL_S: typing.Final = 1.0
 
 
-class Shared:
-    """What all links of an entry share."""
+class SharedState:
+    """The state shared by all links of an entry."""
 
     __slots__ = (
         "cfg",
@@ -71,11 +72,11 @@
         self.quarantine = quarantine.Quarantine(clock_)
         self.bills = bills_
         self.context: zmq.Context[typing.Any] = zmq.Context()
-        # The entry's name with its incarnation.
+        # The entry's vm and incarnation.
         self.identity = identity
-        # The highest control epoch that this entry knows.
+        # The highest epoch of the control lease that this entry has seen.
         self.epoch = 0
-        # Called when a peer brought newer configuration.
+        # Called when newer configuration was received from an agent.
         self.on_change: typing.Callable[[], None] = _nothing
 
 
@@ -86,30 +87,32 @@
 class AgentLink:
     """The connection to one agent."""
 
-    def __init__(self, shared: Shared, address: str) -> None:
+    def __init__(self, shared: SharedState, address: str) -> None:
         self.shared = shared
         self.address = address
         self.report: messages.Report | None = None
-        # The entries that the agent named last, with their revisions.
+        # The entries in the agent's last report that named any, with their revisions.
         self.known_entries: list[messages.Known] = []
-        self.heard_at = 0.0
-        # Whether the VM list says that the agent's VM is leaving.
+        self.last_seen_at = 0.0
+        # Whether the agent's VM is leaving according to the VM list.
         self.vm_leaving = False
         self._lock = threading.Lock()
         self._attempts: dict[int, entry_attempt.Attempt] = {}
         self._orders: dict[str, futures.Future[messages.OrderDone]] = {}
-        # Attempts that were replaced by another one; their bills are void.
-        self._void: collections.deque[int] = collections.deque(maxlen=MAX_VOID)
+        # Attempts that another one has replaced; they are not billed.
+        self._superseded: collections.deque[int] = collections.deque(
+            maxlen=MAX_SUPERSEDED
+        )
         self._last_number = 0
-        # Requests sent less those ended since the last report, by endpoint.
+        # Attempts sent minus attempts closed since the last report, by endpoint.
         self._sent_since: dict[str, int] = {}
         self._mailbox: mailbox.Mailbox[messages.Message] = mailbox.Mailbox()
         self._stopped = False
         self._evidence_tick = 0
-        # When the agent was last told all requests that are held.
-        self._held_told_at = -clock.NEVER
+        # When all requests in quarantine were last sent to the agent.
+        self._held_sent_at = -clock.NEVER
         self._pushed_revision = 0
-        self._push_again_at = 0.0
+        self._next_push_at = 0.0
         self._thread = threading.Thread(
             target=self._run, name=f"link-{address}", daemon=True
         )
@@ -121,7 +124,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the connection, after what waits in the mailbox is sent."""
+        """Send what is left in the mailbox, then close the connection."""
         self._mailbox.put(messages.Goodbye())
         self._stopped = True
         self._thread.join()
@@ -129,24 +132,24 @@
 
     @property
     def live(self) -> bool:
-        """Whether the agent spoke lately."""
-        silent_since = self.heard_at + self.shared.cfg.silent_s
+        """Whether a message from the agent arrived within ``silent_s``."""
+        silent_since = self.last_seen_at + self.shared.cfg.silent_s
         return self.shared.clock.now() < silent_since
 
     @property
     def usable(self) -> bool:
-        """Whether the agent may get new work."""
+        """Whether the agent may get new requests."""
         report = self.report
         if report is None or not self.live:
             return False
         return not (report.leaving or self.vm_leaving)
 
     def sent_since(self, endpoint: str) -> int:
-        """Give the requests sent there that the last report may not count."""
+        """Return how many requests the agent's last report may not include yet."""
         return max(0, self._sent_since.get(endpoint, 0))
 
     def open(self, start: messages.Start) -> entry_attempt.Attempt:
-        """Send a request; its number is set here."""
+        """Send a request and set the attempt's number in it."""
         now = self.shared.clock.now()
         incarnation = self.report.incarnation if self.report else ""
         with self._lock:
@@ -159,22 +162,23 @@
         return attempt
 
     def ack(self, attempt: entry_attempt.Attempt) -> None:
-        """Tell the agent how many parts were taken; it opens the window again."""
+        """Acknowledge the parts that were read, which opens the agent's window."""
         self._mailbox.put(messages.Ack(attempt.number, attempt.taken))
 
     def close(
         self, attempt: entry_attempt.Attempt, is_superseded: bool = False
     ) -> None:
-        """Forget an attempt; what still comes for it is dropped.
+        """Forget an attempt; messages that still arrive for it are ignored.
 
-        :param is_superseded: another attempt takes its place, so it is not billed.
+        :param is_superseded: whether another attempt replaces it; then it is not
+            billed.
         """
         with self._lock:
             if self._attempts.pop(attempt.number, None) is None:
                 return
             attempt.closed = True
             if is_superseded:
-                self._void.append(attempt.number)
+                self._superseded.append(attempt.number)
             self._add_sent(attempt.start.endpoint, -1)
         end = attempt.outcome
         if is_superseded and end is not None and end.bill is not None:
@@ -185,11 +189,11 @@
             self._mailbox.put(messages.Cancel(attempt.number, is_superseded))
 
     def send(self, msg: messages.Message) -> None:
-        """Send any other message."""
+        """Send a message of any other type."""
         self._mailbox.put(msg)
 
     def order(self, order: messages.Order) -> "futures.Future[messages.OrderDone]":
-        """Send an order; the future gives its result."""
+        """Send an order; the returned future receives its result."""
         fut: futures.Future[messages.OrderDone] = futures.Future()
         with self._lock:
             self._orders[order.order] = fut
@@ -197,7 +201,7 @@
         return fut
 
     def push_config(self) -> None:
-        """Send what the agent lacks of the configuration."""
+        """Send the part of the configuration that the agent lacks."""
         known = self.report.revision if self.report else 0
         self._mailbox.put(self.shared.config.delta_since(known))
 
@@ -210,16 +214,16 @@
         poller = zmq.Poller()
         poller.register(sock, zmq.POLLIN)
         poller.register(self._mailbox.fileno(), zmq.POLLIN)
-        beat_at = 0.0
+        next_beat_at = 0.0
         try:
             while not self._stopped:
-                left = clock.remaining(beat_at, self.shared.clock)
+                left = clock.remaining(next_beat_at, self.shared.clock)
                 poller.poll(math.ceil(left * 1000))
                 self._send_waiting(sock)
                 self._read_waiting(sock)
-                if self.shared.clock.now() >= beat_at:
+                if self.shared.clock.now() >= next_beat_at:
                     self._tick(sock)
-                    beat_at = self.shared.clock.now() + self.shared.cfg.beat_s
+                    next_beat_at = self.shared.clock.now() + self.shared.cfg.beat_s
             self._send_waiting(sock)
         finally:
             sock.close(linger=200)
@@ -232,7 +236,7 @@
         try:
             sock.send(messages.encode(msg), zmq.NOBLOCK)
         except zmq.Again:
-            # There is no connection; a request was surely not sent.
+            # There is no connection, so a request was certainly not sent.
             if isinstance(msg, messages.Start):
                 self._fail_unsent(msg)
 
@@ -251,40 +255,45 @@
                 data = sock.recv(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            self._take(data)
+            self._receive(data)
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         try:
             msg = messages.decode(data)
         except errors.GaprockError as exc:
             eventlog.warning("undecodable", peer=self.address, error=exc)
             return
-        self.heard_at = self.shared.clock.now()
+        self.last_seen_at = self.shared.clock.now()
         try:
             self.handle(msg)
         except Exception as exc:
-            # One message must not close the link.
+            # An error in handling one message must not close the link.
             kind = type(msg).__name__
             eventlog.warning("handler-failed", kind=kind, error=repr(exc))
 
     def _tick(self, sock: "zmq.Socket[bytes]") -> None:
-        """Beat, and look after attempts without news."""
-        self._send(sock, self._beat())
+        """Send a heartbeat; fail or resume attempts without recent messages."""
+        self._send(sock, self._heartbeat())
         now = self.shared.clock.now()
         for attempt in list(self._attempts.values()):
-            if now - max(attempt.sent_at, self.heard_at) > self._patience(attempt):
-                self._give_up(attempt, "its agent fell silent")
-            elif now - attempt.asked_at > PROBE_S:
-                attempt.asked_at = now
+            if now - max(attempt.sent_at, self.last_seen_at) > self._silence_limit(
+                attempt
+            ):
+                self._fail_lost(attempt, "its agent fell silent")
+            elif now - attempt.checked_at > RESUME_AFTER_S:
+                attempt.checked_at = now
                 self._send(sock, self._resume(attempt))
 
-    def _patience(self, attempt: entry_attempt.Attempt) -> float:
-        """How long an agent may be silent: less where another may take over."""
+    def _silence_limit(self, attempt: entry_attempt.Attempt) -> float:
+        """Return how long the agent may be silent before the attempt is lost.
+
+        The limit is lower before the first part, when another agent may take over.
+        """
         if attempt.started:
             return self.shared.cfg.stream_silent_s
         return self.shared.cfg.silent_s
 
-    def _give_up(self, attempt: entry_attempt.Attempt, why: str) -> None:
+    def _fail_lost(self, attempt: entry_attempt.Attempt, why: str) -> None:
         started = attempt.started
         code = errorcodes.STREAM_CUT if started else errorcodes.OUTCOME_UNKNOWN
         attempt.fail(errors.GaprockError(code, why))
@@ -292,16 +301,16 @@
             "attempt-lost", request=attempt.start.request, agent=self.address, why=why
         )
 
-    def _give_up_older(self, incarnation: str) -> None:
-        """The agent was replaced: what an earlier process ran is lost."""
+    def _fail_older_incarnations(self, incarnation: str) -> None:
+        """Fail the attempts that an earlier incarnation of the agent ran."""
         for attempt in list(self._attempts.values()):
             if attempt.incarnation not in ("", incarnation):
-                self._give_up(attempt, "its agent was replaced")
+                self._fail_lost(attempt, "its agent was replaced")
 
     def _resume(self, attempt: entry_attempt.Attempt) -> messages.Resume:
         return messages.Resume(attempt.number, attempt.next_part, attempt.incarnation)
 
-    def _beat(self) -> messages.Beat:
+    def _heartbeat(self) -> messages.Beat:
         shared = self.shared
         self._evidence_tick, changed = shared.evidence.since(self._evidence_tick)
         return messages.Beat(
@@ -311,26 +320,26 @@
             shared.epoch,
             shared.config.urgent,
             changed,
-            self._suspects(),
+            self._due_suspects(),
         )
 
-    def _suspects(self) -> list[quarantine.SuspectUpdate]:
-        """Give the suspected requests that are due to the agent."""
+    def _due_suspects(self) -> list[quarantine.SuspectUpdate]:
+        """Return the suspected requests that are to be sent to the agent now."""
         now = self.shared.clock.now()
-        include_held = now >= self._held_told_at + quarantine.HELD_RESEND_S
+        include_held = now >= self._held_sent_at + quarantine.HELD_RESEND_S
         if include_held:
-            self._held_told_at = now
+            self._held_sent_at = now
         origins = (quarantine.Origin.OWN, quarantine.Origin.NEAR)
         return self.shared.quarantine.news(origins, include_held)
 
     def _add_sent(self, endpoint: str, change: int) -> None:
         self._sent_since[endpoint] = self._sent_since.get(endpoint, 0) + change
 
-    # -- Arriving messages --
+    # -- Received messages --
 
     @functools.singledispatchmethod
     def handle(self, msg: messages.Message) -> None:
-        """Take one message from the agent."""
+        """Handle one message from the agent."""
         eventlog.warning("unexpected", peer=self.address, kind=type(msg).__name__)
 
     @handle.register
@@ -339,7 +348,7 @@
             attempt = self._attempts.get(part.attempt)
             if attempt is None:
                 continue
-            attempt.asked_at = self.heard_at
+            attempt.checked_at = self.last_seen_at
             if not attempt.deliver(part):
                 self._mailbox.put(self._resume(attempt))
 
@@ -349,11 +358,11 @@
         if msg.bill is not None:
             self._hold_bill(attempt, msg.bill, msg.attempt)
         if attempt is None:
-            # Our last word on it was lost, or crosses this one.
+            # The final acknowledgement or cancellation was lost or is on its way.
             self._mailbox.put(messages.Cancel(msg.attempt))
             return
-        attempt.asked_at = self.heard_at
-        # Before the end itself, so that whoever waits for it knows.
+        attempt.checked_at = self.last_seen_at
+        # Recorded before the end, so that a thread waiting for the end sees it.
         if msg.ended_incarnation:
             mark = attempt.start.mark
             self.shared.quarantine.note(mark, msg.ended_incarnation, msg.weight)
@@ -376,7 +385,7 @@
             self.report = msg
             self._sent_since.clear()
             self.known_entries = msg.entries or self.known_entries
-        self._give_up_older(msg.incarnation)
+        self._fail_older_incarnations(msg.incarnation)
         self.shared.evidence.merge(msg.evidence)
         self.shared.quarantine.take(msg.suspects, is_far=False)
         self.shared.epoch = max(self.shared.epoch, msg.epoch)
@@ -410,7 +419,7 @@
             fut.set_result(msg)
 
     def _compare_config(self, revision: int, urgent: list[str]) -> None:
-        """Bring the side that is behind forward."""
+        """Request newer configuration from the agent, or push ours if it is behind."""
         mine = self.shared.config
         if mine.add_urgent(urgent):
             eventlog.warning("urgent-from-agent", keys=",".join(urgent))
@@ -420,20 +429,20 @@
             self._mailbox.put(messages.ConfigWanted(my_revision))
         behind = revision < my_revision or bool(set(mine.urgent) - set(urgent))
         now = self.shared.clock.now()
-        fresh = self._pushed_revision < my_revision or now >= self._push_again_at
-        if behind and fresh:
+        push_due = self._pushed_revision < my_revision or now >= self._next_push_at
+        if behind and push_due:
             self._pushed_revision = my_revision
-            self._push_again_at = now + PUSH_AGAIN_S
+            self._next_push_at = now + PUSH_INTERVAL_S
             self._mailbox.put(mine.delta_since(max(0, revision)))
 
     def _hold_bill(
         self, attempt: entry_attempt.Attempt | None, bill: messages.Bill, number: int
     ) -> None:
-        """Hold the bill of an attempt that nobody waits for any more.
+        """Buffer the bill of an attempt that is closed; drop that of a superseded one.
 
-        The bill of a live attempt is held by the request, which may add to it.
+        The bill of an open attempt is buffered by its request, which may add lines.
         """
-        if number in self._void:
+        if number in self._superseded:
             self._mailbox.put(messages.BillsReleased([bill.key]))
         elif attempt is None:
             self.shared.bills.hold(bill, [self.address], self.shared.clock.now())
--- a/gaprock/entry_links.py
+++ b/gaprock/entry_links.py
@@ -1,4 +1,4 @@
-"""All links of an entry: who is a member, and who may get a request."""
+"""All links of an entry: the known agents and the candidates for a request."""
 
 import collections
 import threading
@@ -8,27 +8,27 @@
 
 AGENT_ROLE: typing.Final = "agent"
 LIVE: typing.Final = "live"
-# A link that the VM list no longer names is closed after this silence, seconds.
-FORGET_S: typing.Final = 30.0
-# Prompt prefixes that are remembered with their endpoint.
+# A link to an agent that is off the VM list is closed after silence of this length.
+UNLISTED_TIMEOUT_S: typing.Final = 30.0
+# Prompt prefixes whose last endpoint is remembered.
 MAX_PREFIXES: typing.Final = 20_000
 
 
 class Links:
-    """The links, by address; safe for all threads."""
+    """The links, by address; thread-safe."""
 
     __slots__ = ("shared", "_lock", "_links", "_static", "_prefixes")
 
-    def __init__(self, shared: entry_link.Shared) -> None:
+    def __init__(self, shared: entry_link.SharedState) -> None:
         self.shared = shared
         self._lock = threading.Lock()
         self._links: dict[str, entry_link.AgentLink] = {}
         self._static = set(shared.cfg.agents)
-        # The endpoint that last got each prompt prefix.
+        # The endpoint to which each prompt prefix was last sent.
         self._prefixes: collections.OrderedDict[str, str] = collections.OrderedDict()
 
     def start(self) -> None:
-        """Connect to the agents that are known from the settings."""
+        """Connect to the agents named in the settings."""
         for address in self._static:
             self._connect(address)
 
@@ -38,16 +38,16 @@
             link.stop()
 
     def all(self) -> list[entry_link.AgentLink]:
-        """Give all links."""
+        """Return all links."""
         with self._lock:
             return list(self._links.values())
 
     def get(self, address: str) -> entry_link.AgentLink | None:
-        """Find the link to an address."""
+        """Return the link to an address, if there is one."""
         return self._links.get(address)
 
-    def follow(self, vms: list[services_api.Vm]) -> None:
-        """Take a reading of the VM list."""
+    def apply_vm_list(self, vms: list[services_api.Vm]) -> None:
+        """Open, mark and close links according to the VM list."""
         listed = {vm.address: vm for vm in vms if vm.role == AGENT_ROLE}
         for address, vm in listed.items():
             link = self._links.get(address) or self._connect(address)
@@ -57,15 +57,15 @@
             link.vm_leaving = leaving
         for link in self.all():
             if link.address not in listed and link.address not in self._static:
-                self._drop_if_silent(link)
+                self._close_if_silent(link)
 
     def broadcast(self) -> None:
-        """Send the configuration to every agent that lacks some of it."""
+        """Send to each agent the part of the configuration that it lacks."""
         for link in self.all():
             link.push_config()
 
-    def with_endpoint(self, endpoint: str) -> entry_link.AgentLink | None:
-        """Find the live link whose agent stands before an endpoint."""
+    def find_by_endpoint(self, endpoint: str) -> entry_link.AgentLink | None:
+        """Return the live link to the agent that serves an endpoint."""
         for link in self.all():
             if link.live and link.report is not None:
                 if any(e.endpoint == endpoint for e in link.report.endpoints):
@@ -73,7 +73,7 @@
         return None
 
     def endpoints(self) -> list[messages.EndpointLoad]:
-        """Give the loads of all endpoints that may get new work."""
+        """Return the loads of all endpoints that may get new requests."""
         return [
             load
             for link in self.all()
@@ -85,24 +85,26 @@
     def candidates(
         self, version: str, prefix: str, excluded: set[str]
     ) -> list[policy_api.Candidate]:
-        """Give the endpoints that could run a version now."""
+        """Return the endpoints that could run a version now."""
         found = []
-        holder = self._prefixes.get(prefix, "")
+        prefix_holder = self._prefixes.get(prefix, "")
         for link in self.all():
             if not link.usable or link.report is None:
                 continue
-            near = link.report.hall == self.shared.cfg.hall
+            in_same_hall = link.report.hall == self.shared.cfg.hall
             for load in link.report.endpoints:
                 if self._serves(load, version, excluded):
                     sent = link.sent_since(load.endpoint)
-                    holds = load.endpoint == holder
+                    has_prefix = load.endpoint == prefix_holder
                     found.append(
-                        policy_api.Candidate(link.address, load, sent, near, holds)
+                        policy_api.Candidate(
+                            link.address, load, sent, in_same_hall, has_prefix
+                        )
                     )
         return found
 
-    def note_prefix(self, prefix: str, endpoint: str) -> None:
-        """Remember which endpoint got a prompt prefix."""
+    def record_prefix(self, prefix: str, endpoint: str) -> None:
+        """Record the endpoint to which a prompt prefix was sent."""
         with self._lock:
             self._prefixes[prefix] = endpoint
             self._prefixes.move_to_end(prefix)
@@ -124,10 +126,10 @@
         eventlog.info("link-opened", address=address)
         return link
 
-    def _drop_if_silent(self, link: entry_link.AgentLink) -> None:
-        """Close a link to a VM that is gone."""
+    def _close_if_silent(self, link: entry_link.AgentLink) -> None:
+        """Stop using a link to an unlisted VM; close it after a silence."""
         link.vm_leaving = True
-        if self.shared.clock.now() - link.heard_at < FORGET_S:
+        if self.shared.clock.now() - link.last_seen_at < UNLISTED_TIMEOUT_S:
             return
         with self._lock:
             del self._links[link.address]
--- a/gaprock/entry_main.py
+++ b/gaprock/entry_main.py
@@ -1,9 +1,9 @@
-"""``gaprock-entry``: callers' and operators' HTTP on a thin entry VM.
+"""``gaprock-entry``: the HTTP front end for callers and operators, on an entry VM.
 
-The process starts in this order: settings, the configuration from the table or
-from agents, links, background tasks, and last the HTTP port.  A planned stop goes
-the other way: the health check fails, then new requests are refused, then what
-is open ends, then unwritten bills are written or handed over.
+The process starts in this order: settings, the configuration from the table or from
+agents, links, background tasks, and last the HTTP port.  In a planned stop, the
+health check fails first; then new requests are refused, open requests end, and
+unwritten bills are written or handed over to agents.
 """
 
 import sys
@@ -49,13 +49,13 @@
     "Serves callers and operators over HTTP and chooses the model, version and "
     "endpoint of each request. Every setting is a flag or a variable."
 )
-SETTLE_S: typing.Final = 0.5
-GUARD_S: typing.Final = 0.25
-FORGET_S: typing.Final = 1.0
+CLAIMS_INTERVAL_S: typing.Final = 0.5
+GUARD_INTERVAL_S: typing.Final = 0.25
+QUARANTINE_INTERVAL_S: typing.Final = 1.0
 
 
 class Entry:
-    """One entry process: its parts and its background tasks."""
+    """One entry process: its components and background tasks."""
 
     def __init__(
         self,
@@ -72,8 +72,8 @@
         self.bills = bills.BillBuffer(
             platform.table, bills.ENTRY, cfg.max_bills, self.clock
         )
-        self.bills.written = self._bills_written
-        shared = entry_link.Shared(
+        self.bills.written = self._release_bills
+        shared = entry_link.SharedState(
             cfg, self.clock, self.config, self.evidence, self.bills, identity
         )
         self.links = entry_links.Links(shared)
@@ -119,7 +119,7 @@
             self.decisions,
             self.metrics,
         )
-        self.sessions = entry_sessions.SessionDesk(
+        self.sessions = entry_sessions.SessionApi(
             self.clock, self.parser, self.server, signer, self.batcher
         )
         self.operator = entry_operator.OperatorApi(
@@ -157,14 +157,14 @@
         self._tasks = self._make_tasks()
 
     def start(self) -> None:
-        """Start everything but the HTTP port."""
+        """Start everything except the HTTP port."""
         self.batcher.start()
         self.links.start()
         for task in self._tasks:
             task.start()
 
     def root(self) -> entry_http.Root:
-        """Make the HTTP port's root."""
+        """Build the WSGI application of the HTTP port."""
         return entry_http.Root(
             self.cfg,
             self.config,
@@ -177,7 +177,7 @@
         )
 
     def stop(self) -> None:
-        """Carry out a planned stop; no request in flight is cut."""
+        """Carry out a planned stop; open requests get up to ``drain_s`` to end."""
         self.health.leaving = True
         eventlog.info("leaving", open=self.server.open_requests)
         clock.sleep_until(self.clock.now() + self.cfg.linger_s, self.clock)
@@ -189,7 +189,7 @@
         self.duties.stop()
         self.judge.stop()
         self._flush_bills()
-        self._settle_claims()
+        self._write_claim_outcomes()
         self.batcher.stop()
         self.links.stop()
 
@@ -197,51 +197,55 @@
         cfg = self.cfg
         return [
             periodic.Periodic("config", cfg.config_poll_s, self.publisher.refresh),
-            periodic.Periodic("vm-list", cfg.vm_poll_s, self._follow_vms),
+            periodic.Periodic("vm-list", cfg.vm_poll_s, self._apply_vm_list),
             periodic.Periodic("bills", cfg.bill_write_s, self._write_bills),
-            periodic.Periodic("claims", SETTLE_S, self.claims.write_open_outcomes),
             periodic.Periodic(
-                "urgent", cfg.config_poll_s, self.publisher.accept_urgent
+                "claims", CLAIMS_INTERVAL_S, self.claims.write_open_outcomes
+            ),
+            periodic.Periodic(
+                "urgent", cfg.config_poll_s, self.publisher.write_pending_urgent
+            ),
+            periodic.Periodic("guard", GUARD_INTERVAL_S, self.guard.check),
+            periodic.Periodic(
+                "quarantine", QUARANTINE_INTERVAL_S, self.quarantine.forget_old
             ),
-            periodic.Periodic("guard", GUARD_S, self.guard.look),
-            periodic.Periodic("quarantine", FORGET_S, self.quarantine.forget_old),
             periodic.Periodic("duties", cfg.lease_s / 4, self.duties.step),
         ]
 
-    def _follow_vms(self) -> None:
-        self.links.follow(self.platform.vm_list.vms())
+    def _apply_vm_list(self) -> None:
+        self.links.apply_vm_list(self.platform.vm_list.vms())
 
     def _write_bills(self) -> None:
         while self.bills.write_due():
             continue
 
-    def _bills_written(self, owner: str, keys: list[str]) -> None:
+    def _release_bills(self, owner: str, keys: list[str]) -> None:
         link = self.links.get(owner)
         if link is not None:
             link.send(messages.BillsReleased(keys))
 
     def _flush_bills(self) -> None:
-        """Write the last bills, or hand them to an agent while the table is down."""
+        """Write the remaining bills; if the table is down, hand them to agents."""
         try:
             self._write_bills()
         except services_api.PlatformError as exc:
             eventlog.warning("platform-down", task="last-bills", error=exc)
         held = self.bills.copy_all()
         usable = [link for link in self.links.all() if link.usable]
-        usable.sort(key=lambda link: link.heard_at, reverse=True)
+        usable.sort(key=lambda link: link.last_seen_at, reverse=True)
         for link in usable[: bills.HANDOVER_COPIES]:
             link.send(messages.BillsHandover(held))
         if held and usable:
             self.bills.wait_empty(self.clock.now() + bills.HANDOVER_S)
         eventlog.info("bills-left", handed_over=len(held), lost=len(self.bills))
 
-    def _settle_claims(self) -> None:
+    def _write_claim_outcomes(self) -> None:
         if self.claims.write_open_outcomes():
             eventlog.warning("claims-left-open")
 
 
 class EntryProgram:
-    """An entry with its HTTP port."""
+    """The daemon: an entry with its HTTP port."""
 
     __slots__ = ("_entry",)
 
@@ -260,7 +264,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the program; give its exit code."""
+    """Run the program and return its exit code."""
     return daemon.main(options_flags.ENTRY, DESCRIPTION, EntryProgram, argv)
 
 
--- a/gaprock/entry_operator.py
+++ b/gaprock/entry_operator.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API, which the ``gaprock`` command speaks.
+"""The operators' HTTP API, which the ``gaprock`` command uses.
 
 =======  ==============================  ==========================================
 method   path below ``/operator/``       meaning
@@ -43,7 +43,7 @@
 
 
 class ProcessStatus(msgspec.Struct):
-    """One live process and what it has in force."""
+    """One live process and the revision it has in force."""
 
     process: str
     role: str
@@ -54,7 +54,7 @@
 
 
 class VersionStatus(msgspec.Struct):
-    """A version's evidence, summed over the fleet."""
+    """A version's evidence, summed over all processes."""
 
     version: str
     answers: int
@@ -82,8 +82,8 @@
     versions: list[VersionStatus]
 
 
-class Stored(msgspec.Struct):
-    """A document with the revision that changed it."""
+class DocumentRevision(msgspec.Struct):
+    """A document, ``None`` if deleted, with the revision that changed it."""
 
     key: str
     revision: int
@@ -99,7 +99,7 @@
 
 
 class OperatorApi:
-    """Answers operators; their key is not a caller's key."""
+    """Answers operators' requests, which need the operators' own key."""
 
     def __init__(
         self,
@@ -134,7 +134,7 @@
     ) -> answers.Answer:
         """Answer one request.
 
-        :raises errors.GaprockError: with the code that the operator gets.
+        :raises errors.GaprockError: with the code to be sent to the operator.
         """
         self._check_key(headers)
         name, _, rest = path.partition("/")
@@ -146,11 +146,11 @@
         if method == "PUT":
             return self._put(name, headers, raw)
         if method == "DELETE" and name == "documents":
-            return _published(self._publisher.delete(rest, expected(headers)))
+            return _published(self._publisher.delete(rest, expected_revision(headers)))
         raise errors.GaprockError(errorcodes.NOT_FOUND, f"{method} {path}")
 
     def status(self) -> Status:
-        """Give what the fleet looks like from here."""
+        """Return the state of the deployment as known to this entry."""
         return Status(
             revision=self._config.revision,
             urgent=self._config.urgent,
@@ -158,8 +158,8 @@
             holds_lease=self._lease.held,
             open_requests=self._server.open_requests,
             unwritten_bills=self._count_bills(),
-            first_tries=self._budget.first,
-            second_tries=self._budget.second,
+            first_tries=self._budget.first_tries,
+            second_tries=self._budget.retries,
             processes=self._processes(),
             endpoints=self._links.endpoints(),
             rollouts=self._config.rollouts(),
@@ -167,7 +167,7 @@
         )
 
     def _check_key(self, headers: entry_call.Headers) -> None:
-        given = config.key_hash(entry_call.bearer(headers))
+        given = config.key_hash(entry_call.bearer_key(headers))
         if not hmac.compare_digest(given, self._cfg.operator_key_hash):
             raise errors.GaprockError(
                 errorcodes.FORBIDDEN, "an operator's key is needed"
@@ -191,26 +191,28 @@
         if kind is None or kind in (documents.Withdrawal, documents.Halt):
             raise errors.GaprockError(errorcodes.NOT_FOUND, name)
         document = documents.parse(kind, raw)
-        return _published(self._publisher.publish(document, expected(headers)))
+        return _published(self._publisher.publish(document, expected_revision(headers)))
 
-    def _documents(self, prefix: str) -> list[Stored]:
+    def _documents(self, prefix: str) -> list[DocumentRevision]:
         delta = self._config.delta_since(0)
         return [
-            Stored(entry.key, entry.revision, entry.value)
+            DocumentRevision(entry.key, entry.revision, entry.value)
             for entry in sorted(delta.entries, key=lambda e: e.key)
             if entry.key.startswith(prefix) and entry.value is not None
         ]
 
-    def _history(self, key: str) -> list[Stored]:
-        """Read the changes of a key as far as the log reaches back."""
-        found: list[Stored] = []
+    def _history(self, key: str) -> list[DocumentRevision]:
+        """Read the changes of a key that are still in the log."""
+        found: list[DocumentRevision] = []
         after = ""
         try:
             while rows := self._table.scan(config_store.LOG, after, HISTORY_PAGE):
                 for row in rows:
                     if row.value is not None and row.value["key"] == key:
                         revision = int(row.value["revision"])
-                        found.append(Stored(key, revision, row.value["document"]))
+                        found.append(
+                            DocumentRevision(key, revision, row.value["document"])
+                        )
                 after = rows[-1].key
         except services_api.PlatformError as exc:
             raise errors.GaprockError(
@@ -270,10 +272,10 @@
         )
 
 
-def expected(headers: entry_call.Headers) -> int:
-    """Give the revision that a change is conditional on.
+def expected_revision(headers: entry_call.Headers) -> int:
+    """Return the revision on which a change is conditional.
 
-    :raises errors.GaprockError: ``BAD_REQUEST`` when there is none.
+    :raises errors.GaprockError: ``BAD_REQUEST`` when ``If-Match`` holds none.
     """
     text = headers.get("if-match", "").strip('"')
     if not text.isdigit():
@@ -283,6 +285,6 @@
     return int(text)
 
 
-def _published(done: entry_publish.Published) -> answers.Answer:
+def _published(done: entry_publish.PublishResult) -> answers.Answer:
     body = PublishedAnswer(done.key, done.revision, done.accepted)
     return answers.json_answer(body, 200 if done.accepted else 202)
--- a/gaprock/entry_publish.py
+++ b/gaprock/entry_publish.py
@@ -1,9 +1,9 @@
-"""Changes to the configuration, as an entry carries them out.
+"""Publication of configuration changes by an entry.
 
-A change is accepted when it is in the table, on condition of the revision that
-its author saw.  Withdrawals and halts only ever grow, so they cannot conflict:
-they are in force at once, spread from process to process, and are written when
-the table answers.
+A change is accepted when it is written to the table, on condition that the newest
+revision is the one its author saw.  Withdrawals and halts are only added, never
+removed, so they cannot conflict: they are in force at once, spread from process to
+process, and are written to the table as soon as it answers.
 """
 
 import functools
@@ -20,12 +20,12 @@
     services_api,
 )
 
-# Tries of an urgent change against others that are accepted meanwhile.
+# Tries to write an urgent change when other changes are accepted in between.
 URGENT_TRIES: typing.Final = 10
 
 
-class Published(typing.NamedTuple):
-    """What became of a change."""
+class PublishResult(typing.NamedTuple):
+    """The result of publishing a change."""
 
     key: str
     # The revision that contains it; 0 while it is in force but not accepted.
@@ -34,7 +34,7 @@
 
 
 class Publisher:
-    """Publishes changes and spreads them; safe for all threads."""
+    """Publishes changes and sends them to the agents; thread-safe."""
 
     __slots__ = ("_config", "_store", "_links")
 
@@ -53,9 +53,11 @@
         document: documents.Document,
         expected: int,
         conditions: typing.Sequence[services_api.TableOp] = (),
-    ) -> Published:
-        """Publish a document on condition of the newest revision.
+    ) -> PublishResult:
+        """Publish a document.
 
+        :param expected: the revision that must be the newest one.
+        :param conditions: further conditions on rows of the table.
         :raises errors.GaprockError: ``INVALID_CHANGE``, ``CONFLICT``, ``FENCED``,
             ``TABLE_DOWN`` or ``CHANGE_UNKNOWN``.
         """
@@ -63,13 +65,14 @@
         key = config.key_of(document)
         value = documents.to_value(document)
         revision = self._store.publish(key, value, expected, conditions)
-        self._spread(key, revision)
-        return Published(key, revision, True)
+        self._distribute(key, revision)
+        return PublishResult(key, revision, True)
 
-    def delete(self, key: str, expected: int) -> Published:
-        """Delete a key on condition of the newest revision.
+    def delete(self, key: str, expected: int) -> PublishResult:
+        """Delete a key.
 
-        :raises errors.GaprockError: as ``publish``.
+        :param expected: the revision that must be the newest one.
+        :raises errors.GaprockError: as ``publish``, or ``NOT_FOUND``.
         """
         if key.startswith((config.WITHDRAWN, config.HALTED)):
             raise errors.GaprockError(
@@ -79,31 +82,33 @@
         if entry is None or entry.value is None:
             raise errors.GaprockError(errorcodes.NOT_FOUND, key)
         revision = self._store.publish(key, None, expected)
-        self._spread(key, revision)
-        return Published(key, revision, True)
+        self._distribute(key, revision)
+        return PublishResult(key, revision, True)
 
-    def publish_urgent(self, document: documents.Document) -> Published:
-        """Put a withdrawal or halt in force at once, then have it accepted.
+    def publish_urgent(self, document: documents.Document) -> PublishResult:
+        """Put a withdrawal or halt in force at once, then write it to the table.
 
-        :returns: ``accepted`` is false while the table is down.
-        :raises errors.GaprockError: ``CHANGE_UNKNOWN`` is not raised: what is not
-            known to be accepted is written again later.
+        Raises no ``CHANGE_UNKNOWN``: a change not known to be accepted is written
+        again later.
+
+        :returns: ``accepted`` is false while the change is not in the table.
         """
         key = config.key_of(document)
         if self._config.add_urgent([key]):
             eventlog.warning("urgent-in-force", key=key)
         self._links.broadcast()
-        revision = self._accept(document)
-        return Published(key, revision, revision > 0)
+        revision = self._write_one(document)
+        return PublishResult(key, revision, revision > 0)
 
-    def accept_urgent(self) -> None:
-        """Write what is in force but not accepted; a periodic task."""
+    def write_pending_urgent(self) -> None:
+        """Write the urgent changes that are not accepted yet; a periodic task."""
         for key in self._config.urgent:
-            self._accept(config.document_of_urgent(key))
+            self._write_one(config.document_of_urgent(key))
 
     def refresh(self) -> bool:
-        """Read on in the table, and spread what is new.
+        """Apply new changes from the table and send them to the agents.
 
+        :returns: whether there were any.
         :raises services_api.PlatformError: when the table did not answer.
         """
         mine = self._config
@@ -114,8 +119,8 @@
         self._links.broadcast()
         return True
 
-    def _accept(self, document: documents.Document) -> int:
-        """Have an urgent document accepted; give its revision, or 0."""
+    def _write_one(self, document: documents.Document) -> int:
+        """Write an urgent document; return its revision, or 0 if it failed."""
         key = config.key_of(document)
         value = documents.to_value(document)
         for _ in range(URGENT_TRIES):
@@ -131,23 +136,23 @@
                 return 0
             except services_api.PlatformError:
                 return 0
-            self._spread(key, revision)
+            self._distribute(key, revision)
             return revision
         return 0
 
-    def _spread(self, key: str, revision: int) -> None:
-        """Put an accepted change in force here and send it on."""
+    def _distribute(self, key: str, revision: int) -> None:
+        """Put an accepted change in force here and send it to the agents."""
         eventlog.info("config-accepted", key=key, revision=revision)
         try:
             self.refresh()
         except services_api.PlatformError as exc:
-            # It is accepted; the next reading brings it into force.
+            # The change is accepted; the next refresh puts it in force.
             eventlog.warning("platform-down", task="refresh", error=exc)
 
 
 @functools.singledispatch
 def check_against(document: documents.Document, config_: config.Config) -> None:
-    """Check a document against the configuration it would join.
+    """Check a document against the configuration it is to be added to.
 
     :raises errors.GaprockError: ``INVALID_CHANGE``.
     """
--- a/gaprock/entry_serve.py
+++ b/gaprock/entry_serve.py
@@ -1,13 +1,13 @@
-"""The way of a request through an entry.
+"""How an entry serves a request.
 
-1. ``Server.serve`` takes a checked call, and rules out versions by configuration.
-2. The cascade plug-in orders the rest; a session has just its own version.
+1. ``Server.serve`` gets a checked call and excludes versions by configuration.
+2. The cascade plug-in orders the remaining ones; a session has only its own version.
 3. Each version is tried on an endpoint (``entry_dispatch``).
-4. A whole answer is rated and perhaps climbed over; a stream is relayed as it comes.
-5. The bill is held before the caller has the end of the answer.
+4. A whole answer is rated, and the call may be escalated to the next version.  A
+   stream is passed on as it arrives.
+5. The bill is in the bill buffer before the caller gets the end of the answer.
 
-A call that may not be repeated is claimed first (``claims``), and its outcome is
-written after.
+A non-repeatable call is claimed first (``claims``); its outcome is stored afterwards.
 """
 
 import random
@@ -37,15 +37,15 @@
     sessions,
 )
 
-OPEN_RETRY_S: typing.Final = 1.0
-# Parts are acknowledged whenever this part of the window was taken.
+ADMISSION_RETRY_S: typing.Final = 1.0
+# Parts are acknowledged each time the caller has read 1/ACK_SHARE of the window.
 ACK_SHARE: typing.Final = 4
 STREAM_TYPE: typing.Final = "text/event-stream"
 DONE_EVENT: typing.Final = b"data: [DONE]\n\n"
 
 
 class Server:
-    """Serves checked calls; one thread each."""
+    """Serves checked calls, each on a thread of its own."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._decisions = decisions_
         self._metrics = metrics_
         self._rng = random.Random()
-        # Set while the entry refuses new requests because it is being replaced.
+        # Set during a planned stop, when the entry refuses new requests.
         self.leaving = False
         self._open = 0
         self._idle = threading.Condition()
@@ -83,26 +83,26 @@
     def serve(self, call: entry_call.Call) -> answers.Answer:
         """Serve one call.
 
-        :raises errors.GaprockError: with the code that the caller gets.
+        :raises errors.GaprockError: with the code to be sent to the caller.
         """
-        self._enter()
-        handed_on = False
+        self._admit()
+        is_streaming = False
         try:
             answer = self._serve_open(call)
-            # An open stream leaves when its body is closed.
-            handed_on = answer.parts is not None
+            # A stream counts as open until its body is closed.
+            is_streaming = answer.parts is not None
             return answer
         finally:
-            if not handed_on:
-                self._leave()
+            if not is_streaming:
+                self._release()
 
     def open_session(self, template: documents.Template, name: str) -> sessions.Session:
         """Choose the version of a new session.
 
-        :param name: the session's id; the same id gives the same choice while
-            the configuration stays the same.
+        :param name: the session's id.  An id gets the same version each time, as
+            long as the configuration does not change.
         """
-        allowed = self._available(
+        allowed = self._reachable_versions(
             entry_versions.allowed_versions(self._config, template, name)
         )
         choice = self._cascade.choose(template, allowed, can_escalate=False)
@@ -112,7 +112,7 @@
     def drain(self, deadline: float) -> bool:
         """Wait until no request is open.
 
-        :returns: whether all ended before the deadline.
+        :returns: whether all requests ended before the deadline.
         """
         with self._idle:
             return clock.wait_for(
@@ -121,13 +121,13 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that are being served."""
+        """The number of requests being served."""
         return self._open
 
-    # -- Limits of the entry itself --
+    # -- Admission --
 
-    def _enter(self) -> None:
-        retry_at = self._clock.now() + OPEN_RETRY_S * (1 + self._rng.random())
+    def _admit(self) -> None:
+        retry_at = self._clock.now() + ADMISSION_RETRY_S * (1 + self._rng.random())
         if self.leaving:
             raise errors.GaprockError(errorcodes.LEAVING, self._cfg.vm, retry_at)
         if self._bills.is_full:
@@ -139,24 +139,24 @@
                 )
             self._open += 1
 
-    def _leave(self) -> None:
+    def _release(self) -> None:
         with self._idle:
             self._open -= 1
             self._idle.notify_all()
 
-    # -- Which versions --
+    # -- Choice of versions --
 
     def _serve_open(self, call: entry_call.Call) -> answers.Answer:
         self._metrics.incr("entry.requests")
         if not call.template.repeatable:
             return self._serve_once(call)
-        choice = self._choose(call)
+        choice = self._choose_versions(call)
         if call.stream:
             return self._serve_stream(call, choice.versions[0])
         return self._serve_whole(call, choice.versions)
 
-    def _choose(self, call: entry_call.Call) -> policy_api.Choice:
-        """Choose the versions to try, in order."""
+    def _choose_versions(self, call: entry_call.Call) -> policy_api.Choice:
+        """Choose the versions to try, in this order."""
         if call.session is not None:
             self._check_session(call.session)
             version = call.session.version
@@ -165,10 +165,10 @@
                 "versions", call.request, choice=version, reason="session"
             )
             return choice
-        ruled = entry_versions.allowed_versions(
+        filtered = entry_versions.allowed_versions(
             self._config, call.template, call.request
         )
-        allowed = self._available(ruled)
+        allowed = self._reachable_versions(filtered)
         choice = self._cascade.choose(
             call.template, allowed, can_escalate=not call.stream
         ) or policy_api.Choice(allowed[-1:], "default")
@@ -178,14 +178,14 @@
             workspace=call.workspace,
             template=call.template.name,
             candidates=",".join(c.version for c in call.template.versions),
-            ruled_out=",".join(f"{v}:{why}" for v, why in ruled.out.items()),
+            ruled_out=",".join(f"{v}:{why}" for v, why in filtered.rejected.items()),
             choice=",".join(choice.versions),
             reason=choice.reason,
         )
         return choice
 
     def _check_session(self, session: sessions.Session) -> None:
-        """Check that a session can go on; it never changes its version."""
+        """Check that a session's version, which never changes, may still be used."""
         try:
             self._config.check(
                 session.workspace, session.template, session.version, True
@@ -193,15 +193,22 @@
         except errors.GaprockError as exc:
             raise errors.GaprockError(errorcodes.SESSION_ENDED, str(exc)) from exc
 
-    def _available(self, ruled: entry_versions.Ruled) -> list[str]:
-        """Keep the versions that a live endpoint has."""
-        standing = {v for load in self._links.endpoints() for v in load.versions}
-        available = [v for v in ruled.versions if v in standing]
-        for version in ruled.versions:
-            if version not in standing:
-                ruled.out[version] = "no-endpoint"
+    def _reachable_versions(
+        self, filtered: entry_versions.AllowedVersions
+    ) -> list[str]:
+        """Return the allowed versions that an endpoint in service has.
+
+        The others are added to ``filtered.rejected``.
+
+        :raises errors.GaprockError: when none is left.
+        """
+        reachable = {v for load in self._links.endpoints() for v in load.versions}
+        available = [v for v in filtered.versions if v in reachable]
+        for version in filtered.versions:
+            if version not in reachable:
+                filtered.rejected[version] = "no-endpoint"
         if not available:
-            raise self._dispatcher.no_endpoint(",".join(ruled.versions))
+            raise self._dispatcher.no_endpoint(",".join(filtered.versions))
         return available
 
     # -- Whole answers --
@@ -218,40 +225,42 @@
                 if self._is_accepted(call, version, progress, last):
                     break
         except errors.GaprockError:
-            # An answer of an earlier version goes before an error of a later one.
-            if progress.best is None:
+            # An earlier version's answer is better than a later version's error.
+            if progress.last_answer is None:
                 raise
         finally:
             self._hold_bill(call, progress)
-        assert progress.best is not None
-        self._add_headers(progress.best, call, progress.version)
-        return progress.best
+        assert progress.last_answer is not None
+        self._add_headers(progress.last_answer, call, progress.version)
+        return progress.last_answer
 
     def _try_version(
         self, call: entry_call.Call, version: str, progress: entry_dispatch.Progress
     ) -> None:
-        """Get one version's whole answer."""
-        tried = self._dispatcher.start(call, version, progress)
+        """Get the whole answer of one version."""
+        started = self._dispatcher.start(call, version, progress)
         answer = None
         try:
-            answer = self._collect(call, tried)
+            answer = self._read_whole(call, started)
         finally:
-            end = tried.attempt.outcome
+            end = started.attempt.outcome
             if end is not None:
-                progress.note_bill(end.bill, tried.link.address)
+                progress.record_bill(end.bill, started.link.address)
                 if answer is None:
-                    self._judge.conclude(call.template, version, end, call.raw, None)
-            tried.link.close(tried.attempt)
-        progress.best, progress.version = answer, version
-
-    def _collect(
-        self, call: entry_call.Call, tried: entry_dispatch.Tried
+                    self._judge.record_outcome(
+                        call.template, version, end, call.raw, None
+                    )
+            started.link.close(started.attempt)
+        progress.last_answer, progress.version = answer, version
+
+    def _read_whole(
+        self, call: entry_call.Call, started: entry_dispatch.StartedAttempt
     ) -> answers.Answer:
         deadline = call.deadline + entry_dispatch.DEADLINE_GRACE_S
         body = b""
-        while data := tried.attempt.take(deadline, self._clock):
+        while data := started.attempt.take(deadline, self._clock):
             body += data
-        end = tried.attempt.end
+        end = started.attempt.end
         return answers.Answer(end.status, end.content_type, body)
 
     def _is_accepted(
@@ -261,15 +270,18 @@
         progress: entry_dispatch.Progress,
         last: bool,
     ) -> bool:
-        """Whether an answer is given; it is evidence on its version either way."""
-        assert progress.best is not None
-        body = progress.best.body
+        """Whether to return the last answer to the caller.
+
+        Either way the answer counts as evidence for or against its version.
+        """
+        assert progress.last_answer is not None
+        body = progress.last_answer.body
         if call.template.kind == documents.CALL:
             return True
         if last:
             end = messages.End(0, 0, errorcodes.OK, "", 200, "", -1.0, None)
-            kept = body if self._judge.wants_rating() else None
-            self._judge.conclude(call.template, version, end, call.raw, kept)
+            to_rate = body if self._judge.should_rate() else None
+            self._judge.record_outcome(call.template, version, end, call.raw, to_rate)
             return True
         rating = self._judge.rate_now(call.template, version, call.raw, body)
         accepted = self._cascade.accept(call.template, version, rating)
@@ -297,13 +309,13 @@
         )
         self._bills.hold(bill, progress.owners, self._clock.now())
 
-    # -- Calls that may not be repeated --
+    # -- Non-repeatable calls --
 
     def _serve_once(self, call: entry_call.Call) -> answers.Answer:
-        """Run a call at most once, over all entries and all time.
+        """Run a call at most once across all entries.
 
-        The claim comes before any choice: an id that ran gives its outcome, also
-        when nothing could run it now.
+        The claim precedes the choice of a version: for an id that has run, the stored
+        outcome is returned even if no version could run the call now.
         """
         claim = self._claims.take(
             call.workspace, call.request, call.digest, call.deadline
@@ -313,7 +325,7 @@
             answer.headers["X-Gaprock-Replayed"] = "true"
             return answer
         try:
-            choice = self._choose(call)
+            choice = self._choose_versions(call)
             answer = self._serve_whole(call, choice.versions[:1])
         except errors.GaprockError as exc:
             state = claims.NOT_RUN if exc.not_run else claims.UNKNOWN
@@ -328,63 +340,69 @@
     # -- Streams --
 
     def _serve_stream(self, call: entry_call.Call, version: str) -> answers.Answer:
-        """Open a stream; the caller's headers wait for the first part."""
-        tried = self._dispatcher.start(call, version, entry_dispatch.Progress())
+        """Open a stream.
+
+        Return when the first part is there, so the caller gets no headers before it.
+        """
+        started = self._dispatcher.start(call, version, entry_dispatch.Progress())
         answer = answers.Answer(200, STREAM_TYPE, b"")
-        answer.parts = self._stream_body(call, version, tried)
+        answer.parts = self._stream_body(call, version, started)
         self._add_headers(answer, call, version)
         return answer
 
     def _stream_body(
-        self, call: entry_call.Call, version: str, tried: entry_dispatch.Tried
+        self,
+        call: entry_call.Call,
+        version: str,
+        started: entry_dispatch.StartedAttempt,
     ) -> answers.StreamBody:
-        kept: list[bytes] | None = [] if self._judge.wants_rating() else None
+        to_rate: list[bytes] | None = [] if self._judge.should_rate() else None
 
-        def closed() -> None:
-            self._hold_stream_bill(call, tried)
-            end = tried.attempt.outcome
+        def on_close() -> None:
+            self._hold_stream_bill(call, started)
+            end = started.attempt.outcome
             if end is not None:
-                body = b"".join(kept) if kept else None
-                self._judge.conclude(call.template, version, end, call.raw, body)
-            tried.link.close(tried.attempt)
-            self._leave()
+                body = b"".join(to_rate) if to_rate else None
+                self._judge.record_outcome(call.template, version, end, call.raw, body)
+            started.link.close(started.attempt)
+            self._release()
 
-        return answers.StreamBody(self._relay(call, tried, kept), closed)
+        return answers.StreamBody(self._stream_parts(call, started, to_rate), on_close)
 
-    def _relay(
+    def _stream_parts(
         self,
         call: entry_call.Call,
-        tried: entry_dispatch.Tried,
-        kept: list[bytes] | None,
+        started: entry_dispatch.StartedAttempt,
+        to_rate: list[bytes] | None,
     ) -> typing.Generator[bytes, None, None]:
-        """Give the parts as they come, then a mark of the end or an error event."""
-        attempt = tried.attempt
+        """Yield the parts as they arrive, then the end marker or an error event."""
+        attempt = started.attempt
         deadline = call.deadline + entry_dispatch.DEADLINE_GRACE_S
         acked = 0
         try:
             while data := attempt.take(deadline, self._clock):
-                if kept is not None:
-                    kept.append(data)
+                if to_rate is not None:
+                    to_rate.append(data)
                 yield data
-                # Only what the caller's connection took opens the window.
+                # Only parts written to the caller's connection open the window.
                 if attempt.taken - acked >= attempt.start.window // ACK_SHARE:
                     acked = attempt.taken
-                    tried.link.ack(attempt)
+                    started.link.ack(attempt)
         except errors.GaprockError as exc:
             self._metrics.incr("entry.streams_cut")
             yield answers.error_event(exc)
             return
-        # The bill is held before the caller can know that the answer is whole.
-        self._hold_stream_bill(call, tried)
+        # The bill is buffered before the caller can see that the answer is complete.
+        self._hold_stream_bill(call, started)
         yield DONE_EVENT
 
     def _hold_stream_bill(
-        self, call: entry_call.Call, tried: entry_dispatch.Tried
+        self, call: entry_call.Call, started: entry_dispatch.StartedAttempt
     ) -> None:
-        end = tried.attempt.outcome
+        end = started.attempt.outcome
         if end is not None and end.bill is not None:
             now = self._clock.now()
-            self._bills.hold(end.bill, [tried.link.address], now)
+            self._bills.hold(end.bill, [started.link.address], now)
 
     # -- Headers --
 
--- a/gaprock/entry_sessions.py
+++ b/gaprock/entry_sessions.py
@@ -1,8 +1,9 @@
 """Opening sessions.
 
-A session is its token; nothing is kept here.  Only where a caller names the
-session with an ``Idempotency-Key`` is there a row in the table: of two first
-requests at once, the first one written decides for both.
+The session's token holds its whole state, so the entry stores nothing.  Only if the
+caller names the session with an ``Idempotency-Key`` is there a row in the table: when
+two requests open a session of the same name at once, the row written first decides
+the version for both.
 """
 
 import typing
@@ -21,11 +22,11 @@
 )
 
 KEY: typing.Final = "session/"
-PATIENCE_S: typing.Final = 1.5
+CLAIM_TIMEOUT_S: typing.Final = 1.5
 RETRY_AFTER_S: typing.Final = 2.0
 
 
-class SessionDesk:
+class SessionApi:
     """Answers ``POST /v1/sessions``."""
 
     __slots__ = ("_clock", "_parser", "_server", "_signer", "_batcher")
@@ -54,15 +55,15 @@
         name = ids.check_caller_id(given) if given else ids.new_token()
         session = self._server.open_session(template, name)
         if given:
-            session = self._first(session)
+            session = self._claim_name(session)
         answer = answers.json_answer(
             {"session": self._signer.sign(session), "version": session.version}
         )
         answer.headers["X-Gaprock-Version"] = session.version
         return answer
 
-    def _first(self, session: sessions.Session) -> sessions.Session:
-        """Give the session that was opened first under this name."""
+    def _claim_name(self, session: sessions.Session) -> sessions.Session:
+        """Claim the session's name; return the session that was opened first."""
         value = {
             "template": session.template,
             "version": session.version,
@@ -73,7 +74,7 @@
         )
         now = self._clock.now()
         try:
-            row = self._batcher.submit(op, now + PATIENCE_S).result()
+            row = self._batcher.submit(op, now + CLAIM_TIMEOUT_S).result()
         except services_api.PlatformError as exc:
             raise errors.GaprockError(
                 errorcodes.TABLE_DOWN,
--- a/gaprock/test/processes.py
+++ b/gaprock/test/processes.py
@@ -1,4 +1,4 @@
-"""Real programs as processes of their own, for tests and the demonstration."""
+"""Runs the real programs as separate processes, for tests and the demonstration."""
 
 import hashlib
 import json
@@ -25,12 +25,12 @@
 
 
 def sha(text: str) -> str:
-    """Give a key's stored form."""
+    """Return the hash under which a key is stored."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def wait_until(check: typing.Callable[[], object], what: str) -> None:
-    """Wait for a condition, a bounded time."""
+    """Wait for a condition; fail if it does not hold within ``WAIT_S``."""
     deadline = time.monotonic() + WAIT_S
     while time.monotonic() < deadline:
         try:
@@ -43,16 +43,16 @@
 
 
 class Fleet:
-    """Stand-ins, agents and entries; use it as a context."""
+    """Processes of stand-ins, agents and entries; use it as a context manager."""
 
     def __init__(self, logs: pathlib.Path) -> None:
         self.logs = logs
         self.processes: dict[str, subprocess.Popen[str]] = {}
         self.platform = ""
-        # Addresses of the engines and entries, by name.
+        # URLs of the stand-ins and entries, by name.
         self.urls: dict[str, str] = {}
         self._vms: list[dict[str, str]] = []
-        # Variables of the daemons' environment.
+        # Environment variables added for each process.
         self.env = {"GAPROCK_SESSION_KEYS": SESSION_KEY}
 
     def __enter__(self) -> "Fleet":
@@ -64,7 +64,7 @@
     # -- Starting and stopping --
 
     def run(self, name: str, module: str, *flags: str) -> subprocess.Popen[str]:
-        """Start one program."""
+        """Start a module as a process, with its log in a file."""
         with (self.logs / f"{name}.log").open("a") as log:
             process = subprocess.Popen(
                 [sys.executable, "-m", module, *flags],
@@ -77,20 +77,20 @@
         return process
 
     def start_fake(self, name: str, module: str, *flags: str) -> str:
-        """Start a stand-in and give its address."""
+        """Start a stand-in and return its URL."""
         process = self.run(name, f"gaprock.test.fakes.{module}", *flags)
         assert process.stdout is not None
         self.urls[name] = process.stdout.readline().strip()
         return self.urls[name]
 
     def start_platform(self) -> None:
-        """Start the platform's stand-in."""
+        """Start the stand-in of the platform."""
         self.platform = self.start_fake("platform", "platform")
 
     def start_agent(
         self, name: str, *flags: str, engine: str = "--parts=5", service: bool = False
     ) -> None:
-        """Start an engine, or a service too, and an agent before it."""
+        """Start an engine, with ``service`` also a plain service, and their agent."""
         url = self.start_fake(f"engine-{name}", "engine", *engine.split())
         endpoints = f"engine-{name}={url}"
         if service:
@@ -111,7 +111,7 @@
         HTTP.request("PUT", self.platform + "/vms", json=self._vms)
 
     def start_entry(self, name: str, *flags: str, scheme: str = "http") -> str:
-        """Start an entry and give its address."""
+        """Start an entry and return its URL."""
         port = ports.free_port()
         self.urls[name] = f"{scheme}://127.0.0.1:{port}"
         self.run(
@@ -124,7 +124,7 @@
         return self.urls[name]
 
     def wait_ready(self) -> None:
-        """Wait until each entry is ready and hears each agent."""
+        """Wait until each entry is ready and has a live link to each agent."""
         for name, url in self.urls.items():
             if name.startswith("entry"):
                 wait_until(lambda: self._is_ready(url), name)
@@ -140,12 +140,12 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process without a word."""
+        """Kill a process with SIGKILL and wait for its end."""
         self.processes[name].kill()
         self.processes.pop(name).wait()
 
     def end(self, name: str) -> int:
-        """Ask a process to stop and give its exit code."""
+        """Stop a process with SIGTERM and return its exit code."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGCONT)
         process.send_signal(signal.SIGTERM)
@@ -156,23 +156,23 @@
             return process.wait()
 
     def stop(self) -> dict[str, int]:
-        """Stop everything, the last started first; give the exit codes."""
+        """Stop all processes, the last started first; return their exit codes."""
         return {name: self.end(name) for name in reversed(list(self.processes))}
 
-    # -- Talking to it --
+    # -- Requests --
 
     def faults(self, name: str, **faults: Json) -> None:
-        """Set faults of a stand-in."""
+        """Set the faults of a stand-in."""
         HTTP.request("POST", self.urls[name] + "/_faults", json=faults)
 
     def rows(self, prefix: str) -> list[Json]:
-        """Read rows of the platform's table."""
+        """Read up to 500 rows of the platform's table; none while it is down."""
         asked = {"prefix": prefix, "after": "", "limit": 500}
         resp = HTTP.request("POST", self.platform + "/table/scan", json=asked)
         return list(json.loads(resp.data)) if resp.status == 200 else []
 
     def status(self, url: str) -> Json:
-        """Read an entry's status as an operator."""
+        """Read an entry's status through the operators' API."""
         return json.loads(self.operate(url, "GET", "status").data)
 
     def operate(
@@ -184,7 +184,7 @@
         return HTTP.request(method, target, json=body, headers=given)
 
     def command(self, url: str, *words: str, document: Json = None) -> int:
-        """Run the gaprock command as an operator would, with its output shown."""
+        """Run the ``gaprock`` command; its output is shown, its exit code returned."""
         done = subprocess.run(
             [sys.executable, "-m", "gaprock.ctl_main", "--entry", url, *words],
             input=json.dumps(document) if document is not None else None,
@@ -195,13 +195,13 @@
         return done.returncode
 
     def publish(self, url: str, kind: str, document: Json) -> None:
-        """Publish a document on top of the newest revision."""
+        """Publish a document based on the newest revision."""
         revision = str(self.status(url)["revision"])
         resp = self.operate(url, "PUT", kind, document, **{"If-Match": revision})
         assert resp.status == 200, resp.data
 
     def publish_demo(self, url: str) -> None:
-        """Publish a workspace, a chat template and a template of single runs."""
+        """Publish a workspace, a chat template and a non-repeatable call template."""
         for kind, document in demo_documents():
             self.publish(url, kind, document)
         wait_until(lambda: self._in_force(url), "in force")
@@ -212,7 +212,7 @@
 
 
 def demo_documents() -> list[tuple[str, Json]]:
-    """Give a workspace and two templates, with their kinds."""
+    """Return the kind and content of a workspace and two templates."""
     versions = [{"version": "small@1", "cost": 1}]
     explain = {"workspace": "demo", "name": "explain", "versions": versions}
     score = {
@@ -239,7 +239,7 @@
 
 
 def chat(**fields: Json) -> Json:
-    """Give the body of a chat request."""
+    """Return the body of a chat request."""
     messages = [{"role": "user", "content": "why?"}]
     return {"model": "explain", "messages": messages, **fields}
 
--- a/gaprock/test/site.py
+++ b/gaprock/test/site.py
@@ -1,7 +1,7 @@
-"""A small site inside the test's process: stand-ins, agents and entries.
+"""A small deployment inside the test's process: stand-ins, agents and entries.
 
-Entries are called at ``Server.serve``, below the HTTP port; tests of the port and
-of killed or paused processes start real programs (``processes``).
+Entries are called through ``Server.serve``, below the HTTP port.  Tests of the port
+and of killed or paused processes start real programs (``processes``).
 """
 
 import json
@@ -24,12 +24,12 @@
 
 CALLER_KEY: typing.Final = "caller-key"
 WAIT_S: typing.Final = 15.0
-# What a hook of a test may set before a process starts.
+# A test's hook that changes a process's settings before it starts.
 Change = typing.Callable[[options.Options], None]
 
 
 def wait_until(check: typing.Callable[[], object], what: str = "") -> None:
-    """Wait for a condition, a bounded time; fail the test otherwise."""
+    """Wait for a condition; fail the test if it does not hold within ``WAIT_S``."""
     deadline = time.monotonic() + WAIT_S
     while not check():
         assert time.monotonic() < deadline, f"not in time: {what or check}"
@@ -37,12 +37,12 @@
 
 
 def once_id() -> str:
-    """Make an id for a call that may not be repeated."""
+    """Return a new id for a non-repeatable call."""
     return str(uuid6.uuid7())
 
 
 class Site:
-    """The site; use it as a context."""
+    """The deployment; use it as a context manager."""
 
     def __init__(self, **engine_flags: typing.Any) -> None:
         plugin.load_all()
@@ -69,7 +69,7 @@
     # -- Starting --
 
     def options(self, vm: str) -> options.Options:
-        """Give settings that suit a test."""
+        """Return settings with short times for tests."""
         cfg = options.Options()
         cfg.vm = vm
         cfg.hall = "hall-a"
@@ -89,7 +89,7 @@
         kind: str = "engine",
         **flags: typing.Any,
     ) -> agent_main.Agent:
-        """Start an agent with an endpoint of its own."""
+        """Start a stand-in engine and an agent for it."""
         fake = self.engines[name] = engine.EngineFake(**{**self._engine_flags, **flags})
         fake.start()
         return self.restart_agent(name, change, kind)
@@ -97,7 +97,7 @@
     def restart_agent(
         self, name: str, change: Change | None = None, kind: str = "engine"
     ) -> agent_main.Agent:
-        """Start an agent before an endpoint that is there."""
+        """Start an agent for an engine that is already running."""
         fake = self.engines[name]
         cfg = self.options(f"agent-{name}")
         cfg.agent_port = 0
@@ -135,7 +135,7 @@
         return entry
 
     def start(self, agents: int = 1, entries: int = 1, **flags: typing.Any) -> None:
-        """Start agents and entries, publish, and wait until all are ready."""
+        """Start agents and entries, publish the documents, and wait for all."""
         for number in range(agents):
             self.start_agent("abcdefgh"[number], **flags)
         for _ in range(entries):
@@ -146,7 +146,7 @@
         self.wait_in_force()
 
     def wait_linked(self) -> None:
-        """Wait until each entry hears each agent."""
+        """Wait until each entry has a usable link to each agent."""
         for entry in self.entries:
             wait_until(
                 lambda: entry.config.ready
@@ -155,7 +155,7 @@
             )
 
     def wait_in_force(self) -> None:
-        """Wait until all processes have the same revision."""
+        """Wait until all processes have the newest revision in force."""
         newest = self.platform.value("config/head")["revision"]
         configs = [entry.config for entry in self.entries]
         configs += [agent.config for agent in self.agents.values()]
@@ -163,7 +163,7 @@
             wait_until(lambda: one.revision >= newest, "revision")
 
     def publish(self, *docs: documents.Document) -> int:
-        """Publish documents through the first entry."""
+        """Publish documents through the first entry; return the last revision."""
         revision = 0
         for document in docs:
             publisher = self.entries[0].publisher
@@ -194,7 +194,7 @@
     def send(
         self, raw: bytes, entry: int = 0, headers: dict[str, str] | None = None
     ) -> answers.Answer:
-        """Send a chat request's bytes."""
+        """Send a chat request with this body."""
         process = self.entries[entry]
         given = {"authorization": f"Bearer {CALLER_KEY}", **(headers or {})}
         return process.server.serve(process.parser.chat(given, raw))
@@ -206,7 +206,7 @@
         body: bytes = b'{"points": 1}',
         **headers: str,
     ) -> answers.Answer:
-        """Send a call that may not be repeated."""
+        """Send a non-repeatable call."""
         process = self.entries[entry]
         given = {"authorization": f"Bearer {CALLER_KEY}", "idempotency-key": request}
         given |= {key.replace("_", "-"): value for key, value in headers.items()}
@@ -214,7 +214,7 @@
         return process.server.serve(call)
 
     def ran(self) -> int:
-        """Count the requests that any endpoint ran."""
+        """Return the number of requests run by all endpoints."""
         return sum(sum(fake.ran.values()) for fake in self.engines.values())
 
 
@@ -225,18 +225,18 @@
 
 
 def whole(version: str, parts: int) -> bytes:
-    """Give the stream that a caller must get for a whole answer."""
+    """Return the stream that a caller must get for a complete answer."""
     events = [engine.part_bytes(version, number) for number in range(parts)]
     return b"".join(events) + b"data: [DONE]\n\n"
 
 
 def workspace(name: str = "demo", key: str = CALLER_KEY) -> documents.Workspace:
-    """Give a workspace."""
+    """Return a workspace with one caller key."""
     return documents.Workspace(name, [config.key_hash(key)])
 
 
 def template(*versions: str, **fields: typing.Any) -> documents.Template:
-    """Give a template that allows versions; ``small@1`` if none are named."""
+    """Return a chat template for versions; for ``small@1`` if none are given."""
     choices = [
         documents.VersionChoice(version, 10.0**number)
         for number, version in enumerate(versions or ("small@1",))
@@ -246,7 +246,7 @@
 
 
 def score_template() -> documents.Template:
-    """Give a template of calls that may not be repeated."""
+    """Return a template of non-repeatable calls."""
     return template(
         "scores@1", name="score", kind="call", repeatable=False, path="/scores"
     )
--- a/gaprock/test/testprocesses.py
+++ b/gaprock/test/testprocesses.py
@@ -1,4 +1,4 @@
-"""Real processes that are killed, paused and stopped in the middle of work."""
+"""Processes that are killed, paused or stopped while they serve requests."""
 
 import json
 import pathlib
@@ -24,7 +24,7 @@
 
 
 class Reader(threading.Thread):
-    """Sends a streamed request and reads what comes."""
+    """Sends a streamed request and reads the answer until it ends or breaks off."""
 
     def __init__(self, url: str) -> None:
         super().__init__()
@@ -85,7 +85,7 @@
         cut = [r for r in readers if r.data != whole(40)]
         for reader in cut:
             assert b"event: error" in reader.data and b"[DONE]" not in reader.data
-        # New work goes to the other agent.
+        # New requests go to the other agent.
         assert processes.post(url, processes.CHAT, processes.chat()).status == 200
 
 
@@ -122,7 +122,7 @@
         processes.wait_until(lambda: len(fleet.rows("bill/")) == 2, "one bill each")
 
 
-def test_a_score_survives_the_death_of_its_entry_and_a_table_outage(
+def test_a_non_repeatable_call_runs_once_despite_a_killed_entry_and_a_table_outage(
     tmp_path: pathlib.Path,
 ) -> None:
     with start_fleet(tmp_path, entries=2) as fleet:
@@ -147,7 +147,7 @@
         assert json.loads(ran.data)[request] == 1
 
 
-def test_a_control_holder_that_was_paused_is_replaced_at_a_higher_epoch(
+def test_a_paused_lease_holder_is_replaced_at_a_higher_epoch(
     tmp_path: pathlib.Path,
 ) -> None:
     with start_fleet(tmp_path, entries=2) as fleet:
--- a/gaprock/test/testserve.py
+++ b/gaprock/test/testserve.py
@@ -1,4 +1,4 @@
-"""The whole path inside one process."""
+"""Requests through an entry, an agent and an engine inside one process."""
 
 import io
 import json
@@ -31,7 +31,7 @@
         assert answer.headers["X-Gaprock-Version"] == "small@1"
 
 
-def test_an_endpoint_error_is_no_answer() -> None:
+def test_an_endpoint_error_is_raised_for_whole_answers_and_streams() -> None:
     with site.Site() as s:
         s.start()
         s.engines["a"].faults["fail"] = True
@@ -41,17 +41,17 @@
             assert caught.value.code is errorcodes.ENDPOINT_ERROR
 
 
-def test_a_message_survives_its_codec() -> None:
+def test_a_message_is_unchanged_by_encoding_and_decoding() -> None:
     part = messages.Part(1, 2, 3, b"data")
     sent = messages.Parts([part])
     assert messages.decode(messages.encode(sent)) == sent
 
 
-def test_a_fault_of_the_entry_is_not_called_not_run() -> None:
+def test_an_internal_error_of_the_entry_is_reported_as_outcome_unknown() -> None:
     with site.Site() as s:
         s.start()
         entry = s.entries[0]
-        # A fault that no code path knows.
+        # An exception that no code expects.
         setattr(entry.dispatcher, "_routing", None)
         raw = json.dumps({"model": "explain", "messages": [{}]}).encode()
         environ = {
--- a/gaprock/test/testsessions.py
+++ b/gaprock/test/testsessions.py
@@ -1,4 +1,4 @@
-"""Sessions keep their version."""
+"""Sessions keep their version, and their tokens cannot be forged."""
 
 import json
 import threading
@@ -61,7 +61,7 @@
         s.start(entries=2)
         s.publish(site.template("small@1", "small@2"))
         s.wait_in_force()
-        # The two entries would choose differently.
+        # Make each entry choose a different version.
         for number in (0, 1):
             choose = f"small@{number + 1}"
             server = s.entries[number].server
@@ -85,7 +85,7 @@
         assert len(opened) == 6 and len(set(opened)) == 1
 
 
-def test_a_foreign_token_is_refused_and_not_run() -> None:
+def test_a_token_of_another_workspace_is_refused_and_not_run() -> None:
     with site.Site() as s:
         s.start()
         s.publish(site.workspace("other", "other-key"))
--- a/misc/proofs.py
+++ b/misc/proofs.py
@@ -99,12 +99,12 @@
         3,
         "a named session is the first one written",
         "testsessions.py::test_two_first_requests_with_one_name_open_one_session",
-        (Edit("entry_sessions.py", "session = self._first(session)", "pass"),),
+        (Edit("entry_sessions.py", "session = self._claim_name(session)", "pass"),),
     ),
     Proof(
         3,
         "a token counts in its own workspace only",
-        "testsessions.py::test_a_foreign_token_is_refused_and_not_run",
+        "testsessions.py::test_a_token_of_another_workspace_is_refused_and_not_run",
         (
             Edit(
                 "sessions.py",
@@ -232,7 +232,7 @@
         (
             Edit(
                 "entry_link.py",
-                'self._give_up(attempt, "its agent fell silent")',
+                'self._fail_lost(attempt, "its agent fell silent")',
                 "pass",
             ),
         ),
