--- a/gaprock/entry_duties.py
+++ b/gaprock/entry_duties.py
@@ -79,13 +79,13 @@
 
         :raises services_api.PlatformError: when the table did not answer.
         """
-        had_epoch = self._lease.epoch if self._lease.held else 0
+        previous_epoch = self._lease.epoch if self._lease.held else 0
         held = self._lease.refresh()
         shared = self._links.shared
         shared.epoch = max(shared.epoch, self._lease.epoch)
         if not held:
             return
-        if had_epoch != self._lease.epoch:
+        if previous_epoch != self._lease.epoch:
             eventlog.info("lease-taken", epoch=self._lease.epoch)
         self._advance_rollouts()
         self._place()
@@ -119,7 +119,7 @@
         if rated - before < rollout.answers_per_step:
             return
         last = rollout.step + 1 >= len(rollout.steps)
-        following = msgspec.structs.replace(
+        next_state = msgspec.structs.replace(
             rollout,
             step=rollout.step if last else rollout.step + 1,
             state=documents.DONE if last else documents.RUNNING,
@@ -127,7 +127,7 @@
         )
         try:
             self._publisher.publish(
-                following, self._config.revision, [self._lease.condition()]
+                next_state, self._config.revision, [self._lease.condition()]
             )
         except errors.GaprockError as exc:
             # An operator's change came first, or another entry holds the lease.
@@ -136,8 +136,8 @@
         eventlog.info(
             "rollout-advanced",
             version=rollout.version,
-            step=following.step,
-            state=following.state,
+            step=next_state.step,
+            state=next_state.state,
             rated=rated,
         )
 
@@ -219,20 +219,20 @@
             for c in template.versions
             if not config_.withdrawn(c.version) and not config_.halted(c.version)
         ]
-        soon = (
+        is_near_start = (
             now + PLANNED_START_LEAD_S
             >= template.planned_start
             > now - PLANNED_START_DURATION_S
         )
-        rate = template.expected_rate if soon else 0.0
+        rate = template.expected_rate if is_near_start else 0.0
         for version in versions:
-            share = _list_share(config_, version, versions)
+            share = _rollout_factor(config_, version, versions)
             rates[version] = rates.get(version, 0.0) + rate * share / len(versions)
     return [policy_api.Demand(version, rate) for version, rate in rates.items()]
 
 
-def _list_share(config_: config.Config, version: str, versions: list[str]) -> float:
-    """Return the fraction of a version's even part that rollouts leave to it."""
+def _rollout_factor(config_: config.Config, version: str, versions: list[str]) -> float:
+    """Return the factor by which a rollout scales a version's even part."""
     for rollout in config_.rollouts():
         if rollout.version not in versions or rollout.stable not in versions:
             continue
--- a/gaprock/entry_guard.py
+++ b/gaprock/entry_guard.py
@@ -35,11 +35,11 @@
     def _judge(self, rollout: documents.Rollout) -> None:
         label = self._config.evidence_label(rollout.version)
         stable_label = self._config.evidence_label(rollout.stable)
-        seen = self._evidence.totals(label)
+        tested = self._evidence.totals(label)
         stable = self._evidence.totals(stable_label)
         bad = self._guard.is_bad(
             label,
-            policy_api.Counts(seen.answers, seen.bad),
+            policy_api.Counts(tested.answers, tested.bad),
             policy_api.Counts(stable.answers, stable.bad),
         )
         if not bad:
@@ -47,8 +47,8 @@
         eventlog.warning(
             "version-halted",
             version=rollout.version,
-            answers=seen.answers,
-            bad=seen.bad,
+            answers=tested.answers,
+            bad=tested.bad,
             stable_answers=stable.answers,
             stable_bad=stable.bad,
         )
@@ -56,6 +56,6 @@
             documents.Halt(
                 rollout.version,
                 rollout.attempt,
-                f"{seen.bad} of {seen.answers} answers were bad",
+                f"{tested.bad} of {tested.answers} answers were bad",
             )
         )
--- a/gaprock/entry_link.py
+++ b/gaprock/entry_link.py
@@ -77,10 +77,10 @@
         # The highest epoch of the control lease that this entry has seen.
         self.epoch = 0
         # Called when newer configuration was received from an agent.
-        self.on_change: typing.Callable[[], None] = _nothing
+        self.on_change: typing.Callable[[], None] = _no_op
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     """Do nothing."""
 
 
@@ -217,8 +217,8 @@
         next_beat_at = 0.0
         try:
             while not self._stopped:
-                left = clock.remaining(next_beat_at, self.shared.clock)
-                poller.poll(math.ceil(left * 1000))
+                remaining_s = clock.remaining(next_beat_at, self.shared.clock)
+                poller.poll(math.ceil(remaining_s * 1000))
                 self._send_waiting(sock)
                 self._read_waiting(sock)
                 if self.shared.clock.now() >= next_beat_at:
@@ -420,20 +420,22 @@
 
     def _compare_config(self, revision: int, urgent: list[str]) -> None:
         """Request newer configuration from the agent, or push ours if it is behind."""
-        mine = self.shared.config
-        if mine.add_urgent(urgent):
+        own_config = self.shared.config
+        if own_config.add_urgent(urgent):
             eventlog.warning("urgent-from-agent", keys=",".join(urgent))
             self.shared.on_change()
-        my_revision = mine.revision if mine.ready else -1
+        my_revision = own_config.revision if own_config.ready else -1
         if revision > my_revision:
             self._mailbox.put(messages.ConfigWanted(my_revision))
-        behind = revision < my_revision or bool(set(mine.urgent) - set(urgent))
+        agent_behind = revision < my_revision or bool(
+            set(own_config.urgent) - set(urgent)
+        )
         now = self.shared.clock.now()
         push_due = self._pushed_revision < my_revision or now >= self._next_push_at
-        if behind and push_due:
+        if agent_behind and push_due:
             self._pushed_revision = my_revision
             self._next_push_at = now + PUSH_INTERVAL_S
-            self._mailbox.put(mine.delta_since(max(0, revision)))
+            self._mailbox.put(own_config.delta_since(max(0, revision)))
 
     def _hold_bill(
         self, attempt: entry_attempt.Attempt | None, bill: messages.Bill, number: int
--- a/gaprock/entry_main.py
+++ b/gaprock/entry_main.py
@@ -177,7 +177,7 @@
         )
 
     def stop(self) -> None:
-        """Carry out a planned stop; open requests get up to ``drain_s`` to end."""
+        """Carry out a planned stop; no open request is cut within ``drain_s``."""
         self.health.leaving = True
         eventlog.info("leaving", open=self.server.open_requests)
         clock.sleep_until(self.clock.now() + self.cfg.linger_s, self.clock)
--- a/gaprock/entry_operator.py
+++ b/gaprock/entry_operator.py
@@ -142,11 +142,13 @@
             return self._get(name, rest)
         if method == "POST" and name == "withdraw":
             withdrawal = documents.parse(documents.Withdrawal, raw)
-            return _published(self._publisher.publish_urgent(withdrawal))
+            return _publish_answer(self._publisher.publish_urgent(withdrawal))
         if method == "PUT":
             return self._put(name, headers, raw)
         if method == "DELETE" and name == "documents":
-            return _published(self._publisher.delete(rest, expected_revision(headers)))
+            return _publish_answer(
+                self._publisher.delete(rest, expected_revision(headers))
+            )
         raise errors.GaprockError(errorcodes.NOT_FOUND, f"{method} {path}")
 
     def status(self) -> Status:
@@ -191,7 +193,9 @@
         if kind is None or kind in (documents.Withdrawal, documents.Halt):
             raise errors.GaprockError(errorcodes.NOT_FOUND, name)
         document = documents.parse(kind, raw)
-        return _published(self._publisher.publish(document, expected_revision(headers)))
+        return _publish_answer(
+            self._publisher.publish(document, expected_revision(headers))
+        )
 
     def _documents(self, prefix: str) -> list[DocumentRevision]:
         delta = self._config.delta_since(0)
@@ -285,6 +289,6 @@
     return int(text)
 
 
-def _published(done: entry_publish.PublishResult) -> answers.Answer:
-    body = PublishedAnswer(done.key, done.revision, done.accepted)
-    return answers.json_answer(body, 200 if done.accepted else 202)
+def _publish_answer(result: entry_publish.PublishResult) -> answers.Answer:
+    body = PublishedAnswer(result.key, result.revision, result.accepted)
+    return answers.json_answer(body, 200 if result.accepted else 202)
--- a/gaprock/entry_publish.py
+++ b/gaprock/entry_publish.py
@@ -111,11 +111,11 @@
         :returns: whether there were any.
         :raises services_api.PlatformError: when the table did not answer.
         """
-        mine = self._config
-        delta = self._store.read_since(mine.revision, mine.ready)
-        if delta is None or not mine.apply(delta):
+        own_config = self._config
+        delta = self._store.read_since(own_config.revision, own_config.ready)
+        if delta is None or not own_config.apply(delta):
             return False
-        eventlog.info("config-in-force", revision=mine.revision)
+        eventlog.info("config-in-force", revision=own_config.revision)
         self._links.broadcast()
         return True
 
--- a/gaprock/entry_serve.py
+++ b/gaprock/entry_serve.py
@@ -38,8 +38,8 @@
 )
 
 ADMISSION_RETRY_S: typing.Final = 1.0
-# Parts are acknowledged each time the caller has read 1/ACK_SHARE of the window.
-ACK_SHARE: typing.Final = 4
+# Acknowledgements sent while the caller reads as many parts as a window holds.
+ACKS_PER_WINDOW: typing.Final = 4
 STREAM_TYPE: typing.Final = "text/event-stream"
 DONE_EVENT: typing.Final = b"data: [DONE]\n\n"
 
@@ -77,8 +77,8 @@
         self._rng = random.Random()
         # Set during a planned stop, when the entry refuses new requests.
         self.leaving = False
-        self._open = 0
-        self._idle = threading.Condition()
+        self._open_count = 0
+        self._count_changed = threading.Condition()
 
     def serve(self, call: entry_call.Call) -> answers.Answer:
         """Serve one call.
@@ -114,15 +114,15 @@
 
         :returns: whether all requests ended before the deadline.
         """
-        with self._idle:
+        with self._count_changed:
             return clock.wait_for(
-                self._idle, lambda: not self._open, deadline, self._clock
+                self._count_changed, lambda: not self._open_count, deadline, self._clock
             )
 
     @property
     def open_requests(self) -> int:
         """The number of requests being served."""
-        return self._open
+        return self._open_count
 
     # -- Admission --
 
@@ -132,17 +132,17 @@
             raise errors.GaprockError(errorcodes.LEAVING, self._cfg.vm, retry_at)
         if self._bills.is_full:
             raise errors.GaprockError(errorcodes.BILLS_FULL, self._cfg.vm, retry_at)
-        with self._idle:
-            if self._open >= self._cfg.max_open:
+        with self._count_changed:
+            if self._open_count >= self._cfg.max_open:
                 raise errors.GaprockError(
                     errorcodes.OVERLOADED, "the entry is full", retry_at
                 )
-            self._open += 1
+            self._open_count += 1
 
     def _release(self) -> None:
-        with self._idle:
-            self._open -= 1
-            self._idle.notify_all()
+        with self._count_changed:
+            self._open_count -= 1
+            self._count_changed.notify_all()
 
     # -- Choice of versions --
 
@@ -312,7 +312,7 @@
     # -- Non-repeatable calls --
 
     def _serve_once(self, call: entry_call.Call) -> answers.Answer:
-        """Run a call at most once across all entries.
+        """Run a call at most once, across all entries and over all time.
 
         The claim precedes the choice of a version: for an id that has run, the stored
         outcome is returned even if no version could run the call now.
@@ -385,7 +385,7 @@
                     to_rate.append(data)
                 yield data
                 # Only parts written to the caller's connection open the window.
-                if attempt.taken - acked >= attempt.start.window // ACK_SHARE:
+                if attempt.taken - acked >= attempt.start.window // ACKS_PER_WINDOW:
                     acked = attempt.taken
                     started.link.ack(attempt)
         except errors.GaprockError as exc:
--- a/gaprock/entry_versions.py
+++ b/gaprock/entry_versions.py
@@ -55,10 +55,10 @@
     for rollout in config_.rollouts():
         if rollout.version in remaining and rollout.stable in remaining:
             salt = f"{rollout.version}/{rollout.attempt}"
-            takes_new = hash_fraction(subject, salt) < rollout_share(rollout)
-            loser = rollout.stable if takes_new else rollout.version
-            remaining.remove(loser)
-            rejected[loser] = "rollout"
+            gets_new_version = hash_fraction(subject, salt) < rollout_share(rollout)
+            excluded = rollout.stable if gets_new_version else rollout.version
+            remaining.remove(excluded)
+            rejected[excluded] = "rollout"
     if not remaining:
         raise _no_version_left(rejected)
     return AllowedVersions(remaining, rejected)
--- a/gaprock/test/testprocesses.py
+++ b/gaprock/test/testprocesses.py
@@ -29,11 +29,11 @@
     def __init__(self, url: str) -> None:
         super().__init__()
         self._url = url
-        self.begun = threading.Event()
+        self.first_data = threading.Event()
         self.data = b""
-        self.broke = False
+        self.was_cut = False
         self.start()
-        assert self.begun.wait(processes.WAIT_S)
+        assert self.first_data.wait(processes.WAIT_S)
 
     def run(self) -> None:
         body = processes.chat(stream=True)
@@ -41,10 +41,10 @@
         try:
             while data := resp.read1(65536):
                 self.data += data
-                self.begun.set()
+                self.first_data.set()
         except urllib3.exceptions.HTTPError:
-            self.broke = True
-        self.begun.set()
+            self.was_cut = True
+        self.first_data.set()
 
 
 def start_fleet(
@@ -68,7 +68,7 @@
         reader = Reader(fleet.urls["entry-0"])
         fleet.kill("entry-0")
         reader.join()
-        assert reader.broke and b"[DONE]" not in reader.data
+        assert reader.was_cut and b"[DONE]" not in reader.data
         processes.wait_until(lambda: fleet.rows("bill/"), "the agent's write")
         assert len(fleet.rows("bill/")) == 1
 
@@ -89,15 +89,15 @@
         assert processes.post(url, processes.CHAT, processes.chat()).status == 200
 
 
-@pytest.mark.parametrize("who", ["a", "entry-0"])
+@pytest.mark.parametrize("process", ["a", "entry-0"])
 def test_a_short_pause_of_a_process_loses_no_part(
-    tmp_path: pathlib.Path, who: str
+    tmp_path: pathlib.Path, process: str
 ) -> None:
     with start_fleet(tmp_path) as fleet:
         reader = Reader(fleet.urls["entry-0"])
-        fleet.signal(who, signal.SIGSTOP)
+        fleet.signal(process, signal.SIGSTOP)
         time.sleep(0.8)
-        fleet.signal(who, signal.SIGCONT)
+        fleet.signal(process, signal.SIGCONT)
         reader.join()
         assert reader.data == whole(40)
 
@@ -168,13 +168,13 @@
         processes.wait_until(lambda: holders() == [second], "one holder")
 
 
-@pytest.mark.parametrize("who", ["a", "entry-0"])
+@pytest.mark.parametrize("process", ["a", "entry-0"])
 def test_a_planned_stop_cuts_no_stream_and_exits_cleanly(
-    tmp_path: pathlib.Path, who: str
+    tmp_path: pathlib.Path, process: str
 ) -> None:
     with start_fleet(tmp_path, agents="ab") as fleet:
         readers = [Reader(fleet.urls["entry-0"]) for _ in range(4)]
-        assert fleet.end(who) == 0
+        assert fleet.end(process) == 0
         for reader in readers:
             reader.join()
         assert [r.data for r in readers] == [whole(40)] * 4
