--- a/gaprock/entry_guard.py
+++ b/gaprock/entry_guard.py
@@ -1,14 +1,14 @@
-"""Stops versions that evidence shows to be bad; every entry does this by itself.
+"""Halts versions that the evidence shows to be bad; each entry does so on its own.
 
-A stop is a halt: an urgent change that needs no lease and no table.  It ends new
-sessions here at once, and everywhere as heartbeats carry it.
+A halt is an urgent change, which needs neither the lease nor the table.  It stops new
+sessions of the version at once on this entry, and on others as heartbeats spread it.
 """
 
 from gaprock import config, documents, entry_publish, eventlog, evidence, policy_api
 
 
 class GuardTask:
-    """The periodic look at every rollout, ended ones included."""
+    """The periodic check of all rollouts, ended ones included."""
 
     __slots__ = ("_config", "_evidence", "_guard", "_publisher")
 
@@ -24,8 +24,8 @@
         self._guard = guard
         self._publisher = publisher
 
-    def look(self) -> None:
-        """Judge each version that a rollout has brought in."""
+    def check(self) -> None:
+        """Check the version of each rollout unless it is halted or withdrawn."""
         for rollout in self._config.rollouts():
             stopped = self._config.halted(rollout.version)
             if stopped or self._config.withdrawn(rollout.version):
@@ -35,11 +35,11 @@
     def _judge(self, rollout: documents.Rollout) -> None:
         label = self._config.evidence_label(rollout.version)
         stable_label = self._config.evidence_label(rollout.stable)
-        seen = self._evidence.totals(label)
+        tested = self._evidence.totals(label)
         stable = self._evidence.totals(stable_label)
         bad = self._guard.is_bad(
             label,
-            policy_api.Counts(seen.answers, seen.bad),
+            policy_api.Counts(tested.answers, tested.bad),
             policy_api.Counts(stable.answers, stable.bad),
         )
         if not bad:
@@ -47,8 +47,8 @@
         eventlog.warning(
             "version-halted",
             version=rollout.version,
-            answers=seen.answers,
-            bad=seen.bad,
+            answers=tested.answers,
+            bad=tested.bad,
             stable_answers=stable.answers,
             stable_bad=stable.bad,
         )
@@ -56,6 +56,6 @@
             documents.Halt(
                 rollout.version,
                 rollout.attempt,
-                f"{seen.bad} of {seen.answers} answers were bad",
+                f"{tested.bad} of {tested.answers} answers were bad",
             )
         )
--- a/gaprock/test/testprocesses.py
+++ b/gaprock/test/testprocesses.py
@@ -1,4 +1,4 @@
-"""Real processes that are killed, paused and stopped in the middle of work."""
+"""Processes that are killed, paused or stopped while they serve requests."""
 
 import json
 import pathlib
@@ -24,16 +24,16 @@
 
 
 class Reader(threading.Thread):
-    """Sends a streamed request and reads what comes."""
+    """Sends a streamed request and reads the answer until it ends or breaks off."""
 
     def __init__(self, url: str) -> None:
         super().__init__()
         self._url = url
-        self.begun = threading.Event()
+        self.first_data = threading.Event()
         self.data = b""
-        self.broke = False
+        self.was_cut = False
         self.start()
-        assert self.begun.wait(processes.WAIT_S)
+        assert self.first_data.wait(processes.WAIT_S)
 
     def run(self) -> None:
         body = processes.chat(stream=True)
@@ -41,10 +41,10 @@
         try:
             while data := resp.read1(65536):
                 self.data += data
-                self.begun.set()
+                self.first_data.set()
         except urllib3.exceptions.HTTPError:
-            self.broke = True
-        self.begun.set()
+            self.was_cut = True
+        self.first_data.set()
 
 
 def start_fleet(
@@ -68,7 +68,7 @@
         reader = Reader(fleet.urls["entry-0"])
         fleet.kill("entry-0")
         reader.join()
-        assert reader.broke and b"[DONE]" not in reader.data
+        assert reader.was_cut and b"[DONE]" not in reader.data
         processes.wait_until(lambda: fleet.rows("bill/"), "the agent's write")
         assert len(fleet.rows("bill/")) == 1
 
@@ -85,19 +85,19 @@
         cut = [r for r in readers if r.data != whole(40)]
         for reader in cut:
             assert b"event: error" in reader.data and b"[DONE]" not in reader.data
-        # New work goes to the other agent.
+        # New requests go to the other agent.
         assert processes.post(url, processes.CHAT, processes.chat()).status == 200
 
 
-@pytest.mark.parametrize("who", ["a", "entry-0"])
+@pytest.mark.parametrize("process", ["a", "entry-0"])
 def test_a_short_pause_of_a_process_loses_no_part(
-    tmp_path: pathlib.Path, who: str
+    tmp_path: pathlib.Path, process: str
 ) -> None:
     with start_fleet(tmp_path) as fleet:
         reader = Reader(fleet.urls["entry-0"])
-        fleet.signal(who, signal.SIGSTOP)
+        fleet.signal(process, signal.SIGSTOP)
         time.sleep(0.8)
-        fleet.signal(who, signal.SIGCONT)
+        fleet.signal(process, signal.SIGCONT)
         reader.join()
         assert reader.data == whole(40)
 
@@ -122,7 +122,7 @@
         processes.wait_until(lambda: len(fleet.rows("bill/")) == 2, "one bill each")
 
 
-def test_a_score_survives_the_death_of_its_entry_and_a_table_outage(
+def test_a_non_repeatable_call_runs_once_despite_a_killed_entry_and_a_table_outage(
     tmp_path: pathlib.Path,
 ) -> None:
     with start_fleet(tmp_path, entries=2) as fleet:
@@ -147,7 +147,7 @@
         assert json.loads(ran.data)[request] == 1
 
 
-def test_a_control_holder_that_was_paused_is_replaced_at_a_higher_epoch(
+def test_a_paused_lease_holder_is_replaced_at_a_higher_epoch(
     tmp_path: pathlib.Path,
 ) -> None:
     with start_fleet(tmp_path, entries=2) as fleet:
@@ -168,13 +168,13 @@
         processes.wait_until(lambda: holders() == [second], "one holder")
 
 
-@pytest.mark.parametrize("who", ["a", "entry-0"])
+@pytest.mark.parametrize("process", ["a", "entry-0"])
 def test_a_planned_stop_cuts_no_stream_and_exits_cleanly(
-    tmp_path: pathlib.Path, who: str
+    tmp_path: pathlib.Path, process: str
 ) -> None:
     with start_fleet(tmp_path, agents="ab") as fleet:
         readers = [Reader(fleet.urls["entry-0"]) for _ in range(4)]
-        assert fleet.end(who) == 0
+        assert fleet.end(process) == 0
         for reader in readers:
             reader.join()
         assert [r.data for r in readers] == [whole(40)] * 4
