--- a/gaprock/clock.py
+++ b/gaprock/clock.py
@@ -1,35 +1,35 @@
-"""Points in time.
+"""Clocks, deadlines, and detection of suspensions.
 
-Every limit in gaprock is stored as a deadline: seconds since the epoch, UTC.
-A deadline travels from process to process, so the VMs' clocks must agree to
-within a fraction of a second, as they do under the platform's time service.
+Time limits are stored as deadlines in seconds since the epoch, UTC.  Deadlines are
+passed between processes, so the VMs' clocks must agree to within a fraction of a
+second, as the platform's time service ensures.
 """
 
 import threading
 import time
 import typing
 
-# Stands for "no deadline" where one is required by type.
+# A deadline that never passes.
 NEVER: typing.Final = float("inf")
-# Whether the system has a steady clock that counts the time of a suspension.
+# Whether the system has a steady clock that also runs while it is suspended.
 COUNTS_SUSPENSION: typing.Final = hasattr(time, "CLOCK_BOOTTIME")
-# Longest wait at a time where a deadline is waited for, seconds: so late it is noticed
-# after a suspension.
+# Longest single wait while waiting for a deadline.  After a suspension, a deadline that
+# passed meanwhile is noticed this late at most.
 SLICE_S: typing.Final = 0.5
-# Shorter gaps are the scheduler's, seconds.
-LEAST_GAP_S: typing.Final = 0.1
-# Kinds of gaps.
+# Shorter gaps are ascribed to the scheduler and not reported.
+MIN_GAP_S: typing.Final = 0.1
+# Kinds of gaps; the log names them.
 SUSPENDED: typing.Final = "suspended"
 STOOD_STILL: typing.Final = "stood-still"
 
 
 class Clock:
-    """The time source; tests put a settable one in its place."""
+    """Time source; tests replace it by a ``ManualClock``."""
 
     __slots__ = ()
 
     def now(self) -> float:
-        """Give the current time.
+        """Return the current time.
 
         :returns: seconds since the epoch.
         """
@@ -37,7 +37,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when it is told to."""
+    """A clock that moves only when ``advance`` is called."""
 
     __slots__ = ("_now",)
 
@@ -53,21 +53,22 @@
 
 
 def remaining(deadline: float, clock: Clock) -> float:
-    """Give the seconds left until ``deadline``, never below zero."""
+    """Return the seconds left until ``deadline``, or zero if it has passed."""
     return max(0.0, deadline - clock.now())
 
 
 class SteadyClock(Clock):
-    """A clock that no change of the time of day moves, and no suspension stops.
+    """A clock that ignores changes of the system time and runs during a suspension.
 
-    For a process whose deadlines stay inside it.  The usual steady clock stands still
-    while a machine is suspended, so that everything known looks fresh afterwards.
+    For processes that do not pass their deadlines to others.  The usual monotonic clock
+    stands still while a machine is suspended, so that stale state would look fresh
+    afterwards.
     """
 
     __slots__ = ()
 
     def now(self) -> float:
-        """Give the time.
+        """Return the current time.
 
         :returns: seconds since an arbitrary point.
         """
@@ -77,7 +78,7 @@
 
 
 class MonotonicClock(Clock):
-    """The clock of all waits of the system: it stands while a machine is suspended."""
+    """The clock that system waits use; it stands still while a machine is suspended."""
 
     __slots__ = ()
 
@@ -86,41 +87,46 @@
 
 
 class GapDetector:
-    """Notices that this process did nothing for a while; ``look`` is called often.
+    """Detects that this process did not run for a while.
 
-    :param most_s: between two looks, if nothing holds the process up, seconds.
+    :param clock_: a clock that runs during a suspension.
+    :param max_interval_s: longest time between two calls of ``look`` in a process that
+        is not held up.
+    :param monotonic: a clock that stands still during a suspension.
     """
 
-    __slots__ = ("_clock", "_standing", "_most_s", "_looked_at", "_ahead_s")
+    __slots__ = ("_clock", "_monotonic", "_max_interval_s", "_checked_at", "_offset_s")
 
     def __init__(
-        self, clock_: Clock, most_s: float, standing: Clock | None = None
+        self, clock_: Clock, max_interval_s: float, monotonic: Clock | None = None
     ) -> None:
         self._clock = clock_
-        self._standing = standing or MonotonicClock()
-        self._most_s = most_s
-        self._looked_at = clock_.now()
-        self._ahead_s = self._looked_at - self._standing.now()
+        self._monotonic = monotonic or MonotonicClock()
+        self._max_interval_s = max_interval_s
+        self._checked_at = clock_.now()
+        self._offset_s = self._checked_at - self._monotonic.now()
 
     def look(self) -> list["Gap"]:
-        """Give the gaps since the last look."""
+        """Return the gaps since the last call."""
         now = self._clock.now()
-        ahead_s = now - self._standing.now()
-        suspended_s = ahead_s - self._ahead_s
-        stood_s = now - self._looked_at - max(0.0, suspended_s) - self._most_s
-        self._looked_at, self._ahead_s = now, ahead_s
+        offset_s = now - self._monotonic.now()
+        suspended_s = offset_s - self._offset_s
+        stalled_s = (
+            now - self._checked_at - max(0.0, suspended_s) - self._max_interval_s
+        )
+        self._checked_at, self._offset_s = now, offset_s
         found = []
-        if suspended_s > LEAST_GAP_S:
+        if suspended_s > MIN_GAP_S:
             found.append(Gap(SUSPENDED, suspended_s))
-        if stood_s > LEAST_GAP_S:
-            found.append(Gap(STOOD_STILL, stood_s))
+        if stalled_s > MIN_GAP_S:
+            found.append(Gap(STOOD_STILL, stalled_s))
         return found
 
 
 class Gap(typing.NamedTuple):
-    """A time in which a process did nothing.
+    """Time in which a process did not run.
 
-    :param kind: ``SUSPENDED`` where the two clocks parted, else ``STOOD_STILL``.
+    :param kind: ``SUSPENDED`` if the two clocks diverged, otherwise ``STOOD_STILL``.
     """
 
     kind: str
@@ -133,11 +139,13 @@
     deadline: float,
     clock_: Clock,
 ) -> bool:
-    """Wait with a condition's lock held until something holds or a deadline passed.
+    """Wait on a condition until a predicate holds or a deadline passes.
 
-    One long wait would outlive its deadline by as much as the machine is suspended.
+    The caller holds the condition's lock.  Waits in slices, because a single long wait
+    would overrun its deadline by the time for which the machine is suspended.
 
-    :returns: whether it holds.
+    :param holds: the predicate.
+    :returns: whether the predicate holds.
     """
     while not holds():
         left = deadline - clock_.now()
@@ -148,6 +156,6 @@
 
 
 def sleep_until(deadline: float, clock_: Clock) -> None:
-    """Wait until a deadline; no longer where the machine was suspended meanwhile."""
+    """Wait until a deadline, without overrunning it after a suspension."""
     while (left := deadline - clock_.now()) > 0:
         threading.Event().wait(min(left, SLICE_S))
--- a/gaprock/config.py
+++ b/gaprock/config.py
@@ -1,12 +1,14 @@
 """The configuration in force in one process.
 
 The configuration is a set of keyed documents.  Each key carries the revision
-that last changed it, so "what changed after revision N" is one small delta.
-Two rules keep it from going back:
-
-* a delta is taken only when it starts at or below our revision and ends above it;
-* *urgent* keys (withdrawals and halts) that are in force before the table has
-  accepted them only ever grow, and are merged from every process that speaks.
+that last changed it, so the changes after revision N form one small delta.
+Two rules keep the configuration from going back to an earlier state:
+
+* a delta is applied only if it starts at or below the process's revision and ends
+  above it;
+* *urgent* keys (withdrawals and halts) are in force before the table has accepted
+  them; their set is merged from all peers, and a key leaves it only once the table
+  has accepted the key.
 """
 
 import functools
@@ -35,30 +37,30 @@
     DRAIN: documents.Drain,
 }
 
-# What a process may put in force before the table has accepted it.
+# Keys that a process may put in force before the table has accepted them.
 URGENT_KEY: typing.Final = re.compile(
     rf"(?:{WITHDRAWN}[^/\s]{{1,64}}|{HALTED}[^/\s]{{1,64}}/[0-9]{{1,6}})\Z"
 )
 
 
 def template_key(workspace: str, name: str) -> str:
-    """Give the key of a template."""
+    """Return the key of a template."""
     return f"{TEMPLATE}{workspace}/{name}"
 
 
 def halt_key(version: str, attempt: int) -> str:
-    """Give the key of a halt; it holds until a rollout with a higher attempt."""
+    """Return the key of a halt; a rollout with a higher attempt ends the halt."""
     return f"{HALTED}{version}/{attempt}"
 
 
 def key_hash(key: str) -> str:
-    """Give the stored form of a bearer key."""
+    """Return the hash under which a bearer key is stored."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 @functools.singledispatch
 def key_of(document: documents.Document) -> str:
-    """Give the key that a document is stored under."""
+    """Return the key that a document is stored under."""
     raise TypeError(type(document).__name__)
 
 
@@ -93,12 +95,12 @@
 
 
 def kind_of(key: str) -> type[documents.Document] | None:
-    """Give the document type of a key."""
+    """Return the document type of a key, by the key's prefix."""
     return KINDS.get(key.split("/", 1)[0] + "/")
 
 
 def document_of_urgent(key: str) -> documents.Document:
-    """Make the document that an urgent key stands for."""
+    """Build the document that an urgent key stands for."""
     if key.startswith(WITHDRAWN):
         return documents.Withdrawal(key[len(WITHDRAWN) :], "urgent")
     version, _, attempt = key[len(HALTED) :].rpartition("/")
@@ -106,7 +108,7 @@
 
 
 class Config:
-    """The newest configuration that this process knows; safe for all threads."""
+    """The newest configuration that this process knows.  Thread-safe."""
 
     __slots__ = (
         "_lock",
@@ -122,7 +124,7 @@
     def __init__(self) -> None:
         self._lock = threading.RLock()
         self.revision = 0
-        # False until a first configuration was taken, even an empty one.
+        # Whether a configuration, possibly an empty one, has been applied yet.
         self.ready = False
         self._entries: dict[str, messages.ConfigEntry] = {}
         self._documents: dict[str, documents.Document] = {}
@@ -132,9 +134,9 @@
         self._workspace_of_hash: dict[str, str] = {}
 
     def apply(self, delta: messages.ConfigDelta) -> bool:
-        """Take a delta if it leads forward from where we are.
+        """Apply a delta if it continues from the revision in force.
 
-        :returns: whether the revision moved.
+        :returns: whether it was applied.
         """
         with self._lock:
             self.add_urgent(delta.urgent)
@@ -146,11 +148,11 @@
                 self._put(entry)
             self.revision = max(self.revision, delta.revision)
             self.ready = True
-            self._settle_urgent()
+            self._drop_accepted_urgent()
             return True
 
     def delta_since(self, revision: int) -> messages.ConfigDelta:
-        """Give all keys that changed after ``revision``."""
+        """Return all keys that changed after ``revision``."""
         with self._lock:
             changed = [e for e in self._entries.values() if e.revision > revision]
             return messages.ConfigDelta(
@@ -158,7 +160,7 @@
             )
 
     def add_urgent(self, keys: typing.Iterable[str]) -> bool:
-        """Put withdrawals and halts in force before the table has them.
+        """Put withdrawals and halts in force before the table has accepted them.
 
         :returns: whether any of them was new.
         """
@@ -167,49 +169,49 @@
             if not new:
                 return False
             self._urgent = self._urgent.union(new)
-            self._collect_halts()
+            self._update_halts()
             return True
 
     @property
     def urgent(self) -> list[str]:
-        """The keys in force that the table has not accepted yet."""
+        """Keys in force that the table has not accepted yet."""
         return sorted(self._urgent)
 
     def entry(self, key: str) -> messages.ConfigEntry | None:
-        """Give a key's entry, deleted ones included."""
+        """Return a key's entry; the entry of a deleted key has no value."""
         return self._entries.get(key)
 
     def template(self, workspace: str, name: str) -> documents.Template | None:
-        """Find a template."""
+        """Return a template, or ``None`` if there is none."""
         found = self._documents.get(template_key(workspace, name))
         return found if isinstance(found, documents.Template) else None
 
     def templates(self) -> list[documents.Template]:
-        """List all templates."""
+        """Return all templates."""
         return self._all(documents.Template)
 
     def template_names(self, workspace: str) -> list[str]:
-        """List the names of a workspace's templates."""
+        """Return the names of a workspace's templates."""
         return sorted(t.name for t in self.templates() if t.workspace == workspace)
 
     def rollouts(self) -> list[documents.Rollout]:
-        """List all rollouts, ended ones included."""
+        """Return all rollouts, including ended ones."""
         return self._all(documents.Rollout)
 
     def rollout(self, version: str) -> documents.Rollout | None:
-        """Find the rollout of a version."""
+        """Return the rollout of a version, or ``None`` if there is none."""
         found = self._documents.get(ROLLOUT + version)
         return found if isinstance(found, documents.Rollout) else None
 
     def workspace(self, name: str) -> documents.Workspace | None:
-        """Find a workspace."""
+        """Return a workspace, or ``None`` if there is none."""
         found = self._documents.get(WORKSPACE + name)
         return found if isinstance(found, documents.Workspace) else None
 
     def workspace_of(self, key: str) -> str | None:
-        """Find the workspace that a bearer key belongs to.
+        """Return the name of the workspace that a bearer key belongs to.
 
-        The lookup is by the key's hash; the last comparison takes constant time.
+        The lookup is by the key's hash; the final comparison takes constant time.
         """
         digest = key_hash(key)
         name = self._workspace_of_hash.get(digest, "")
@@ -222,12 +224,12 @@
         return None
 
     def withdrawn(self, version: str) -> bool:
-        """Whether a version is withdrawn, accepted or not."""
+        """Return whether a version is withdrawn, accepted by the table or not."""
         key = WITHDRAWN + version
         return key in self._documents or key in self._urgent
 
     def halted(self, version: str) -> bool:
-        """Whether a version takes no new session."""
+        """Return whether a version is halted, so that it receives no new session."""
         halt = self._halts.get(version)
         if halt is None:
             return False
@@ -235,23 +237,24 @@
         return halt >= (rollout.attempt if rollout else 0)
 
     def evidence_label(self, version: str) -> str:
-        """Give the name under which a version's answers are counted now.
+        """Return the label under which a version's answers are counted now.
 
-        A rollout that starts again is judged by new answers only.
+        It includes the rollout's attempt, as a restarted rollout is judged by new
+        answers only.
         """
         rollout = self.rollout(version)
         return f"{version}/{rollout.attempt}" if rollout else version
 
     def draining(self, endpoint: str) -> bool:
-        """Whether an operator takes the endpoint out of service."""
+        """Return whether an operator has taken the endpoint out of service."""
         return DRAIN + endpoint in self._documents
 
     def check(
         self, workspace: str, template: str, version: str, in_session: bool
     ) -> None:
-        """Check that a request may run on a version, by what is known here.
+        """Check that the configuration in force here lets a request run on a version.
 
-        Entry and agent both call this; it is the one statement of the rule.
+        Entry and agent both call this, so that the rule is defined only once.
 
         :raises errors.GaprockError: a code of category *not run*.
         """
@@ -270,7 +273,7 @@
             raise errors.GaprockError(errorcodes.VERSION_HALTED, version)
 
     def allows(self, template: documents.Template, version: str) -> bool:
-        """Whether a template's list allows a version."""
+        """Return whether a template's list allows a version."""
         return any(choice.version == version for choice in template.versions)
 
     def _put(self, entry: messages.ConfigEntry) -> None:
@@ -286,7 +289,7 @@
         if entry.key.startswith(WORKSPACE):
             self._index_workspaces()
         if entry.key.startswith(HALTED):
-            self._collect_halts()
+            self._update_halts()
 
     def _index_workspaces(self) -> None:
         self._workspace_of_hash = {
@@ -300,11 +303,11 @@
             return False
         return URGENT_KEY.match(key) is not None
 
-    def _settle_urgent(self) -> None:
-        """Forget urgent keys that the table has accepted by now."""
+    def _drop_accepted_urgent(self) -> None:
+        """Drop the urgent keys that the table has accepted."""
         self._urgent = frozenset(k for k in self._urgent if k not in self._documents)
 
-    def _collect_halts(self) -> None:
+    def _update_halts(self) -> None:
         halts: dict[str, int] = {}
         for key in [*self._documents, *self._urgent]:
             if key.startswith(HALTED):
--- a/gaprock/config_store.py
+++ b/gaprock/config_store.py
@@ -3,11 +3,12 @@
 Rows:
 
 * ``config/head``: the newest revision;
-* ``config/doc/KEY``: each key's document with the revision that changed it;
-* ``config/log/REVISION``: what each revision changed, for cheap reading on.
+* ``config/doc/KEY``: a key's document with the revision that last changed it;
+* ``config/log/REVISION``: what a revision changed, so that a reader can catch up
+  without reading all documents.
 
-A publication is one transaction on all three, on condition that the head is
-still the one that the operator saw.
+A publication is one transaction on all three, conditional on the head that the
+operator's change is based on.
 """
 
 import typing
@@ -19,22 +20,23 @@
 HEAD: typing.Final = "config/head"
 DOC: typing.Final = "config/doc/"
 LOG: typing.Final = "config/log/"
-PAGE: typing.Final = 500
-# Log rows kept behind the head.
+# Rows of one scan of the table.
+PAGE_ROWS: typing.Final = 500
+# Log rows kept before the head.
 LOG_LENGTH: typing.Final = 2000
-# Tries to settle a publication whose answer was lost.
-SETTLE_TRIES: typing.Final = 6
+# Attempts to commit a publication, or to find out its outcome if an answer was lost.
+MAX_COMMIT_ATTEMPTS: typing.Final = 6
 
 Value = dict[str, typing.Any]
 
 
 def log_key(revision: int) -> str:
-    """Give the log row's key of a revision."""
+    """Return the key of a revision's log row."""
     return f"{LOG}{revision:012d}"
 
 
 def revision_of(row: services_api.Row) -> int:
-    """Give the revision in the head's row."""
+    """Return the revision in the head row; 0 if the row is absent."""
     return int(row.value["revision"]) if row.value else 0
 
 
@@ -53,9 +55,9 @@
     def read_since(self, revision: int, ready: bool) -> messages.ConfigDelta | None:
         """Read what changed after ``revision``.
 
-        :param ready: false when the reader has nothing yet and needs all.
-        :returns: ``None`` when there is nothing new.
-        :raises services_api.PlatformError: when the table did not answer.
+        :param ready: whether the reader has a configuration; if not, all is read.
+        :returns: ``None`` if there is nothing new.
+        :raises services_api.PlatformError: if the table did not answer.
         """
         head = revision_of(self._table.read([HEAD])[0])
         if ready and head <= revision:
@@ -75,7 +77,8 @@
     ) -> int:
         """Publish one change on condition that ``expected`` is the newest revision.
 
-        :param conditions: further conditions, such as the control lease's.
+        :param document: the new document; ``None`` deletes the key.
+        :param conditions: further conditions, such as that of the control lease.
         :returns: the new revision.
         :raises errors.GaprockError: ``CONFLICT`` with the current revision,
             ``FENCED``, ``TABLE_DOWN``, or ``CHANGE_UNKNOWN``.
@@ -110,13 +113,13 @@
         return revision
 
     def trim_log(self, head: int) -> int:
-        """Delete old log rows.
+        """Delete one page of the log rows that are ``LOG_LENGTH`` or more behind.
 
         :returns: the number of rows deleted.
-        :raises services_api.PlatformError: when the table did not answer.
+        :raises services_api.PlatformError: if the table did not answer.
         """
         last = log_key(max(0, head - LOG_LENGTH))
-        rows = self._table.scan(LOG, "", PAGE)
+        rows = self._table.scan(LOG, "", PAGE_ROWS)
         old = [row for row in rows if row.key < last]
         if old:
             self._table.transact(
@@ -127,47 +130,58 @@
     def _commit(
         self, ops: list[services_api.TableOp], revision: int, txid: str
     ) -> None:
-        """Carry out a publication, and settle it when an answer is lost.
+        """Commit a publication, and find out its outcome if an answer is lost.
 
-        The steps may be sent again: their conditions hold for one time only, and
-        the log row tells by the transaction id whether that time was ours.
+        The transaction can safely be sent again: its conditions hold only once, and
+        the transaction id in the log row shows whether this publisher's transaction
+        was the one that took effect.
         """
         retrying = tenacity.Retrying(
-            stop=tenacity.stop_after_attempt(SETTLE_TRIES),
+            stop=tenacity.stop_after_attempt(MAX_COMMIT_ATTEMPTS),
             wait=tenacity.wait_random_exponential(0.05, max=0.5),
             retry=tenacity.retry_if_exception_type(services_api.PlatformError),
             reraise=True,
         )
-        sent = False
+        may_be_applied = False
         try:
             for attempt in retrying:
                 with attempt:
-                    if sent and self._is_ours(revision, txid):
+                    if may_be_applied and self._is_own(revision, txid):
                         return
                     try:
                         result = self._table.transact(ops)
                     except services_api.AnswerLost:
-                        sent = True
+                        may_be_applied = True
                         raise
-                    self._judge(result, sent, revision, txid)
+                    self._check_result(result, may_be_applied, revision, txid)
         except services_api.PlatformError as exc:
-            code = errorcodes.CHANGE_UNKNOWN if sent else errorcodes.TABLE_DOWN
+            code = (
+                errorcodes.CHANGE_UNKNOWN if may_be_applied else errorcodes.TABLE_DOWN
+            )
             raise errors.GaprockError(code, str(exc), exc.retry_at) from exc
 
-    def _judge(
-        self, result: services_api.TxResult, sent: bool, revision: int, txid: str
+    def _check_result(
+        self,
+        result: services_api.TxResult,
+        may_be_applied: bool,
+        revision: int,
+        txid: str,
     ) -> None:
-        if result.ok or (sent and self._is_ours(revision, txid)):
+        """Raise the error of a rejected transaction.
+
+        :param may_be_applied: whether an earlier attempt may have taken effect.
+        """
+        if result.ok or (may_be_applied and self._is_own(revision, txid)):
             return
         for row in result.failed:
             if row.key == HEAD:
                 raise _conflict(revision_of(row))
         raise errors.GaprockError(errorcodes.FENCED, result.failed[0].key)
 
-    def _is_ours(self, revision: int, txid: str) -> bool:
-        """Whether a revision was written by our transaction.
+    def _is_own(self, revision: int, txid: str) -> bool:
+        """Return whether a revision was written by this transaction.
 
-        :raises errors.GaprockError: ``CONFLICT`` when it was another's.
+        :raises errors.GaprockError: ``CONFLICT`` if another one wrote it.
         """
         row = self._table.read([log_key(revision)])[0]
         if row.value is None:
@@ -177,13 +191,13 @@
         return True
 
     def _read_log(self, revision: int, head: int) -> messages.ConfigDelta | None:
-        """Read on from a revision; ``None`` when the log no longer reaches back."""
-        if head - revision > PAGE:
+        """Read the changes after a revision; ``None`` if the log starts later."""
+        if head - revision > PAGE_ROWS:
             return None
-        rows = self._table.scan(LOG, log_key(revision), PAGE)
+        rows = self._table.scan(LOG, log_key(revision), PAGE_ROWS)
         if not rows or rows[0].key != log_key(revision + 1):
             return None
-        # A later revision of the same key goes before an earlier one.
+        # Of several changes to a key, the latest one counts.
         newest = {}
         for row in rows:
             if row.value is not None:
@@ -192,12 +206,12 @@
         return messages.ConfigDelta(revision, last, list(newest.values()), [])
 
     def _read_all(self) -> messages.ConfigDelta:
-        """Read all documents at one revision."""
+        """Read all documents as of one revision, again if it changes meanwhile."""
         while True:
             before = revision_of(self._table.read([HEAD])[0])
             entries = []
             after = ""
-            while rows := self._table.scan(DOC, after, PAGE):
+            while rows := self._table.scan(DOC, after, PAGE_ROWS):
                 for row in rows:
                     if row.value is not None:
                         entries.append(_entry(row.key[len(DOC) :], row.value))
--- a/gaprock/ctl_client.py
+++ b/gaprock/ctl_client.py
@@ -1,4 +1,4 @@
-"""The command line's side of the operators' API, through ``urllib3``."""
+"""Client of the operators' API, used by the command line."""
 
 import typing
 import urllib.parse
@@ -8,17 +8,17 @@
 
 from gaprock import answers, errorcodes, errors, options
 
-WAIT_S: typing.Final = 10.0
+TIMEOUT_S: typing.Final = 10.0
 
 
 class Client:
-    """Speaks to one entry; any entry will do."""
+    """Sends operators' requests to one entry; all entries serve the same API."""
 
     __slots__ = ("_base", "_pool", "_headers")
 
     def __init__(self, cfg: options.Options) -> None:
         self._base = cfg.entry.rstrip("/") + "/operator/"
-        self._pool = urllib3.PoolManager(retries=False, timeout=WAIT_S)
+        self._pool = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
         self._headers = {
             "Authorization": f"Bearer {cfg.operator_key}",
             "Content-Type": "application/json",
@@ -31,11 +31,11 @@
         body: bytes | None = None,
         revision: int | None = None,
     ) -> typing.Any:
-        """Make one call and decode its answer.
+        """Send one request and decode the response.
 
-        :param revision: the revision that a change builds on.
-        :raises errors.GaprockError: the entry's error, ``ENTRY_UNREACHABLE``, or
-            ``CHANGE_UNKNOWN`` when the answer to a change did not come.
+        :param revision: the revision that a change is based on.
+        :raises errors.GaprockError: the error that the entry returned,
+            ``ENTRY_UNREACHABLE``, or ``CHANGE_UNKNOWN`` if a change got no response.
         """
         headers = dict(self._headers)
         if revision is not None:
@@ -59,7 +59,7 @@
 
 
 def _error(resp: urllib3.BaseHTTPResponse) -> errors.GaprockError:
-    """Give the error that an answer stands for."""
+    """Build the exception for an error response."""
     try:
         info = msgspec.json.decode(resp.data, type=answers.ErrorBody).error
     except msgspec.DecodeError:
@@ -67,7 +67,7 @@
             errorcodes.ENTRY_UNREACHABLE, f"status {resp.status}"
         )
     code = errorcodes.get(info.number)
-    # The message opens with the code's own text and ends with its number.
+    # The message is the code's description, the detail and the code's number.
     detail = info.message.removeprefix(code.description).removeprefix(": ")
     detail = detail.rpartition(" (code ")[0]
     return errors.GaprockError(code, detail, info.retry_at or 0.0)
--- a/gaprock/ctl_main.py
+++ b/gaprock/ctl_main.py
@@ -1,7 +1,8 @@
-"""``gaprock``: the operators' command line.
+"""Command ``gaprock``: the operators' command line.
 
-Exit codes: 0 done; 1 not run or refused; 2 wrong usage or settings; 3 outcome
-unknown; 4 done but not in force everywhere yet.
+Exit codes: 0 done; 1 not run or refused; 2 usage or settings error; 3 outcome
+unknown; 4 pending: done but not yet in force in every process, or not yet accepted by
+the table.
 """
 
 import json
@@ -31,19 +32,19 @@
 EXIT_REFUSED: typing.Final = 1
 EXIT_USAGE: typing.Final = 2
 EXIT_UNKNOWN: typing.Final = 3
-EXIT_LAGS: typing.Final = 4
+EXIT_PENDING: typing.Final = 4
 
-# How long a publication is followed until it is in force everywhere, seconds.
-FOLLOW_S: typing.Final = 10.0
-FOLLOW_POLL_S: typing.Final = 0.25
-# Tries of a rollout command against changes that are accepted meanwhile.
-EDIT_TRIES: typing.Final = 5
+# Longest wait for a publication to be in force in every process.
+IN_FORCE_TIMEOUT_S: typing.Final = 10.0
+IN_FORCE_POLL_S: typing.Final = 0.25
+# Attempts of a rollout command that conflicts with concurrent changes.
+MAX_EDIT_ATTEMPTS: typing.Final = 5
 
 Args = typing.Any
 
 
 class Commands:
-    """The commands, one method each."""
+    """Implementations of the commands."""
 
     __slots__ = ("_cfg", "_client")
 
@@ -54,13 +55,13 @@
     # -- Documents --
 
     def validate(self, args: Args) -> int:
-        """Check a template without an entry."""
+        """Check a template file without contacting an entry."""
         document = documents.parse(documents.Template, _read(args.file))
         self._show({"valid": True, "key": config.key_of(document)})
         return EXIT_DONE
 
     def publish(self, args: Args) -> int:
-        """Publish a document and follow it until it is in force."""
+        """Publish a document and wait until it is in force."""
         kind = args.kind
         document = documents.parse(config.KINDS[kind + "/"], _read(args.file))
         revision = args.if_revision
@@ -80,7 +81,7 @@
         return EXIT_DONE
 
     def diff(self, args: Args) -> int:
-        """Show how a file differs from what is published."""
+        """Show how a template file differs from the published template."""
         document = documents.parse(documents.Template, _read(args.file))
         key = config.key_of(document)
         found = self._client.call("GET", f"documents/{key}")
@@ -101,12 +102,12 @@
         done = self._client.call(
             "DELETE", f"documents/{args.key}", revision=self._revision()
         )
-        return self._follow(done)
+        return self._wait_in_force(done)
 
     # -- Rollouts and withdrawals --
 
     def rollout_start(self, args: Args) -> int:
-        """Start a rollout, or start it again after a stop."""
+        """Start a rollout, or restart it after it stopped."""
         old = self._rollout(args.version)
         document = documents.convert(
             documents.Rollout,
@@ -122,7 +123,7 @@
 
     def rollout_edit(self, args: Args) -> int:
         """Pause, resume, abort or advance a rollout."""
-        for _ in range(EDIT_TRIES):
+        for _ in range(MAX_EDIT_ATTEMPTS):
             revision = self._revision()
             rollout = self._rollout(args.version)
             if rollout is None:
@@ -135,28 +136,28 @@
         raise errors.GaprockError(errorcodes.CONFLICT, "others keep changing it")
 
     def withdraw(self, args: Args) -> int:
-        """Withdraw a version; this works while the table is down too."""
+        """Withdraw a version; this also works while the table is down."""
         document = documents.Withdrawal(args.version, args.reason)
         documents.convert(documents.Withdrawal, documents.to_value(document))
         done = self._client.call("POST", "withdraw", msgspec.json.encode(document))
         if not done["accepted"]:
             self._show({**done, "note": "in force, not yet accepted by the table"})
-            return EXIT_LAGS
-        return self._follow(done)
+            return EXIT_PENDING
+        return self._wait_in_force(done)
 
     def drain(self, args: Args) -> int:
-        """Take an endpoint out of service, or bring it back."""
+        """Take an endpoint out of service, or return it to service."""
         if args.undo:
             done = self._client.call(
                 "DELETE",
                 f"documents/{config.DRAIN}{args.endpoint}",
                 revision=self._revision(),
             )
-            return self._follow(done)
+            return self._wait_in_force(done)
         document = documents.Drain(args.endpoint)
         return self._publish("drain", document, self._revision())
 
-    # -- Looking --
+    # -- Status and diagnosis --
 
     def status(self, args: Args) -> int:
         """Show the state of the site."""
@@ -164,7 +165,7 @@
         return EXIT_DONE
 
     def explain(self, args: Args) -> int:
-        """Show the decisions of a request, from log files or the entry's memory."""
+        """Show the decisions about a request, from log files or an entry's memory."""
         if args.log:
             lines = [
                 line.rstrip("\n")
@@ -178,19 +179,19 @@
         return EXIT_DONE if lines else EXIT_REFUSED
 
     def report(self, args: Args) -> int:
-        """Show where requests were lost or late, from log files."""
+        """Show which requests failed or were late and why, from log files."""
         return ctl_report.run(args.log, args.html)
 
     # -- Helpers --
 
     def _publish(self, kind: str, document: documents.Document, revision: int) -> int:
         body = msgspec.json.encode(document)
-        return self._follow(self._client.call("PUT", kind, body, revision))
+        return self._wait_in_force(self._client.call("PUT", kind, body, revision))
 
-    def _follow(self, done: typing.Any) -> int:
-        """Report progress until every live process has a change in force."""
+    def _wait_in_force(self, done: typing.Any) -> int:
+        """Wait until every live process has a change in force, reporting progress."""
         revision = done["revision"]
-        deadline = time.time() + FOLLOW_S
+        deadline = time.time() + IN_FORCE_TIMEOUT_S
         lagging: list[str] = []
         while time.time() < deadline:
             status = self._client.call("GET", "status")
@@ -201,9 +202,9 @@
                 self._show({**done, "in_force": True, "lagging": []})
                 return EXIT_DONE
             self._progress(f"accepted; waiting for {len(lagging)} processes")
-            time.sleep(FOLLOW_POLL_S)
+            time.sleep(IN_FORCE_POLL_S)
         self._show({**done, "in_force": False, "lagging": lagging})
-        return EXIT_LAGS
+        return EXIT_PENDING
 
     def _revision(self) -> int:
         return int(self._client.call("GET", "status")["revision"])
@@ -228,7 +229,7 @@
 
 
 def _edited(rollout: documents.Rollout, edit: str) -> documents.Rollout:
-    """Give a rollout after an operator's command."""
+    """Return a rollout as changed by an operator's command."""
     if edit == "advance":
         last = rollout.step + 1 >= len(rollout.steps)
         if last:
@@ -243,7 +244,7 @@
 
 
 def _lines(value: typing.Any, indent: str) -> typing.Iterator[str]:
-    """Write a value for people."""
+    """Format a value as indented text."""
     if isinstance(value, dict):
         for key, inner in value.items():
             if isinstance(inner, (dict, list)) and inner:
@@ -269,9 +270,9 @@
 
 
 def _read(name: str) -> bytes:
-    """Read a file, or standard input for ``-``.
+    """Read a file, or standard input if the name is ``-``.
 
-    :raises errors.GaprockError: ``BAD_REQUEST`` when it cannot be read.
+    :raises errors.GaprockError: ``BAD_REQUEST`` if it cannot be read.
     """
     try:
         if name == "-":
@@ -282,31 +283,39 @@
 
 
 def make_parser() -> typing.Any:
-    """Make the parser with all commands."""
+    """Build the argument parser with all commands."""
     parser = options_flags.make_parser(options_flags.CTL, DESCRIPTION)
     commands = parser.add_subparsers(required=True, metavar="COMMAND")
     _add_template(commands)
     _add_documents(commands)
     _add_rollout(commands)
-    withdraw = _command(commands, "withdraw", "withdraw a version, at once")
+    withdraw = _command(commands, "withdraw", "withdraw a version immediately")
     withdraw.add_argument("version")
     withdraw.add_argument("--reason", default="")
     withdraw.set_defaults(run=Commands.withdraw)
     drain = _command(commands, "drain", "take an endpoint out of service")
     drain.add_argument("endpoint")
-    drain.add_argument("--undo", action="store_true", help="bring it back")
+    drain.add_argument("--undo", action="store_true", help="return it to service")
     drain.set_defaults(run=Commands.drain)
     status = _command(commands, "status", "show the state of the site")
     status.set_defaults(run=Commands.status)
-    explain = _command(commands, "explain", "show the decisions of a request")
+    explain = _command(commands, "explain", "show the decisions about a request")
     explain.add_argument("request")
     explain.add_argument(
-        "--log", action="append", help="log file to search instead, or - for input"
+        "--log",
+        action="append",
+        help="log file to search instead, or - for standard input",
     )
     explain.set_defaults(run=Commands.explain)
-    report = _command(commands, "report", "show where requests were lost, from logs")
-    report.add_argument("log", nargs="*", help="log files; none or - for input")
-    report.add_argument("--html", metavar="FILE", help="write a page with plots too")
+    report = _command(
+        commands, "report", "show which requests failed or were late, from logs"
+    )
+    report.add_argument(
+        "log", nargs="*", help="log files; none or - for standard input"
+    )
+    report.add_argument(
+        "--html", metavar="FILE", help="also write an HTML page with plots"
+    )
     report.set_defaults(run=Commands.report)
     return parser
 
@@ -314,14 +323,16 @@
 def _add_template(commands: typing.Any) -> None:
     template = _command(commands, "template", "event templates")
     actions = template.add_subparsers(required=True, metavar="ACTION")
-    validate = _command(actions, "validate", "check a file, without an entry")
+    validate = _command(actions, "validate", "check a file without contacting an entry")
     validate.add_argument("file", help="JSON file, or - for standard input")
     validate.set_defaults(run=Commands.validate)
     publish = _command(actions, "publish", "publish a file")
     publish.add_argument("file", help="JSON file, or - for standard input")
-    publish.add_argument("--if-revision", type=int, help="revision it builds on")
+    publish.add_argument(
+        "--if-revision", type=int, help="revision that the change is based on"
+    )
     publish.set_defaults(run=Commands.publish, kind="template")
-    diff = _command(actions, "diff", "compare a file with what is published")
+    diff = _command(actions, "diff", "compare a file with the published template")
     diff.add_argument("file")
     diff.set_defaults(run=Commands.diff)
     for name, run, text in (
@@ -338,9 +349,11 @@
     actions = workspace.add_subparsers(required=True, metavar="ACTION")
     publish = _command(actions, "publish", "publish a file")
     publish.add_argument("file", help="JSON file, or - for standard input")
-    publish.add_argument("--if-revision", type=int, help="revision it builds on")
+    publish.add_argument(
+        "--if-revision", type=int, help="revision that the change is based on"
+    )
     publish.set_defaults(run=Commands.publish, kind="workspace")
-    show = _command(commands, "show", "show all documents of a prefix")
+    show = _command(commands, "show", "show all documents with a key prefix")
     show.add_argument("key", nargs="?", default="")
     show.set_defaults(run=Commands.show)
     delete = _command(commands, "delete", "delete a document")
@@ -349,11 +362,13 @@
 
 
 def _add_rollout(commands: typing.Any) -> None:
-    rollout = _command(commands, "rollout", "step-by-step moves to a new version")
+    rollout = _command(
+        commands, "rollout", "gradual moves of new work to a new version"
+    )
     actions = rollout.add_subparsers(required=True, metavar="ACTION")
-    start = _command(actions, "start", "start a rollout, or start it again")
+    start = _command(actions, "start", "start or restart a rollout")
     start.add_argument("version")
-    start.add_argument("--stable", required=True, help="version it replaces")
+    start.add_argument("--stable", required=True, help="version that it replaces")
     start.add_argument("--steps", default="0.01,0.05,0.25,1", help="shares")
     start.add_argument("--answers-per-step", type=int, default=50)
     start.set_defaults(run=Commands.rollout_start)
@@ -376,7 +391,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Run one command.
 
-    :returns: the exit code; see the module.
+    :returns: the exit code, as listed at the head of this module.
     """
     args = make_parser().parse_args(argv)
     try:
--- a/gaprock/ctl_report.py
+++ b/gaprock/ctl_report.py
@@ -1,7 +1,7 @@
-"""``gaprock report LOG...``: where requests were lost or late, from the gateways' logs.
+"""Command ``gaprock report LOG...``: reports on failed and late requests from logs.
 
-Exit codes as the command line's: 1 when the logs have no request, 2 when a file cannot
-be read or the library for plots is missing.
+The exit codes follow those of ``ctl_main``: 1 if the logs hold no request, 2 if a file
+cannot be read or the plotting library is missing.
 """
 
 import pathlib
@@ -18,21 +18,22 @@
 def run(names: list[str], page: str | None) -> int:
     """Report on log files.
 
-    :param names: files; none or ``-`` is standard input.
-    :param page: a file for the page with plots.
+    :param names: log files; ``-`` is standard input, as is an empty list.
+    :param page: file to write the HTML page with plots to, if any.
+    :returns: the exit code.
     """
     try:
-        found = report.Report(report.collect(_texts(names or ["-"])))
-        if not found.verdicts:
-            count = found.found.lines
+        summary = report.Report(report.collect(_texts(names or ["-"])))
+        if not summary.requests:
+            count = summary.parsed.lines
             print(f"gaprock: no request in {count} lines of a log", file=sys.stderr)
             return EXIT_EMPTY
         if page is not None:
-            pathlib.Path(page).write_text(report_html.render(found))
-    except (OSError, report_html.NoPlots) as exc:
+            pathlib.Path(page).write_text(report_html.render(summary))
+    except (OSError, report_html.PlotsUnavailable) as exc:
         print(f"gaprock: {exc}", file=sys.stderr)
         return EXIT_USAGE
-    print(report_text.render(found), end="")
+    print(report_text.render(summary), end="")
     return EXIT_DONE
 
 
--- a/gaprock/daemon.py
+++ b/gaprock/daemon.py
@@ -1,4 +1,4 @@
-"""What both daemons do around their work: settings, signals, start and stop."""
+"""Common main program of the daemons: settings, signals, start and stop."""
 
 import signal
 import sys
@@ -11,23 +11,23 @@
 
 
 class Daemon(typing.Protocol):
-    """A program that runs until it is told to stop."""
+    """A program that serves until it is stopped."""
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     def stop(self) -> None:
-        """Carry out a planned stop."""
+        """Stop in an orderly way."""
 
 
 def run(cfg: options.Options, make: typing.Callable[[], Daemon]) -> None:
-    """Run a daemon until SIGTERM or SIGINT; further signals change nothing."""
+    """Run a daemon until SIGTERM or SIGINT; further signals are ignored."""
     eventlog.start(cfg.vm, cfg.verbose)
-    stops = signals.Signals(signal.SIGTERM, signal.SIGINT)
+    stop_signals = signals.Signals(signal.SIGTERM, signal.SIGINT)
     daemon = make()
     daemon.start()
     eventlog.info("started", hall=cfg.hall)
-    stops.wait()
+    stop_signals.wait()
     daemon.stop()
     eventlog.info("stopped")
 
@@ -38,9 +38,9 @@
     make: typing.Callable[[options.Options], Daemon],
     argv: list[str] | None,
 ) -> int:
-    """Run a daemon's program.
+    """Parse the settings and run a daemon.
 
-    :returns: the exit code: 0, or 2 when the settings are wrong.
+    :returns: the exit code: 0, or 2 if the settings are invalid.
     """
     try:
         cfg = options_flags.parse(program, description, argv)
--- a/gaprock/documents.py
+++ b/gaprock/documents.py
@@ -1,8 +1,7 @@
-"""The documents that operators publish, and their checks.
+"""The documents that operators publish, and their validation.
 
-The same code checks a document at ``gaprock template validate`` and at
-publication.  ``template.schema.json`` is generated from ``Template`` by
-``misc/write_schema.py``.
+``gaprock template validate`` and a publication run the same checks.
+``template.schema.json`` is generated from ``Template`` by ``misc/write_pages.py``.
 """
 
 import functools
@@ -22,7 +21,7 @@
 Fraction = typing.Annotated[float, msgspec.Meta(ge=0, le=1)]
 KeyHash = typing.Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
 
-# How a template's kind reaches an endpoint.
+# Kinds of templates, by how a request is sent to an endpoint.
 CHAT: typing.Final = "chat"
 CALL: typing.Final = "call"
 
@@ -34,14 +33,14 @@
 
 
 class Document(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The base of every document."""
+    """Base class of all documents."""
 
 
 class Workspace(Document, frozen=True):
     """A workspace, its callers' keys and its share of a contended endpoint."""
 
     name: Name
-    # SHA-256 of each accepted key, in hex; the keys themselves are not kept.
+    # SHA-256 of each accepted key, in hex; the keys themselves are not stored.
     key_hashes: typing.Annotated[list[KeyHash], msgspec.Meta(min_length=1)]
     share: typing.Annotated[float, msgspec.Meta(gt=0, le=1000)] = 1.0
 
@@ -58,59 +57,59 @@
 
     workspace: Name
     name: Name
-    # The allowed versions, from the cheapest to the safest.
+    # Allowed versions, from the cheapest to the safest.
     versions: typing.Annotated[
         list[VersionChoice], msgspec.Meta(min_length=1, max_length=64)
     ]
     kind: typing.Literal["chat", "call"] = "chat"
-    # The rating, 0 to 1, that an answer should reach.
+    # Rating, 0 to 1, that an answer should reach.
     quality: Fraction = 0.8
-    # The share of answers that may miss that rating.
+    # Share of answers that may miss that rating.
     under_target: Fraction = 0.05
-    # 0 is served first.
+    # From 0 to 9; requests with a lower number are served first.
     priority: typing.Annotated[int, msgspec.Meta(ge=0, le=9)] = 5
-    # Seconds a request may take in all, unless the caller asks for less.
+    # Longest duration of a request; a caller may ask for a shorter one.
     time_limit_s: typing.Annotated[float, msgspec.Meta(gt=0, le=3600)] = 60.0
-    # Seconds by which the first part should be there.
+    # Time within which the first part of the answer should arrive.
     first_part_s: typing.Annotated[float, msgspec.Meta(gt=0, le=3600)] = 1.5
-    # When everyone arrives, seconds since the epoch; 0 for no planned start.
+    # When a surge of callers is expected, seconds since the epoch; 0 for none.
     planned_start: typing.Annotated[float, msgspec.Meta(ge=0)] = 0.0
-    # Requests a second expected in the first minute of a planned start.
+    # Requests per second expected in the first minute after the planned start.
     expected_rate: typing.Annotated[float, msgspec.Meta(ge=0, le=1e6)] = 0.0
-    # False for calls that may run at most once.
+    # Whether a request may run more than once.
     repeatable: bool = True
-    # The service's path, for kind "call".
+    # Path of the service, for kind "call".
     path: typing.Annotated[str, msgspec.Meta(pattern="^/", max_length=256)] = "/"
 
 
 class Rollout(Document, frozen=True):
-    """A step-by-step move of new work from a stable version to a new one."""
+    """A gradual move of new work from a stable version to a new one."""
 
     version: VersionName
     stable: VersionName
-    # The share of new work at each step; the last one is usually 1.
+    # Share of new work at each step; the last one is usually 1.
     steps: typing.Annotated[
         list[Fraction], msgspec.Meta(min_length=1, max_length=32)
     ] = msgspec.field(default_factory=lambda: [0.01, 0.05, 0.25, 1.0])
     step: typing.Annotated[int, msgspec.Meta(ge=0)] = 0
     state: typing.Literal["running", "paused", "aborted", "done"] = "running"
-    # Answers that must be judged at a step before the next one.
+    # Answers that must be judged at a step before the next one begins.
     answers_per_step: typing.Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 50
-    # Evidence seen when the step began; the step counts from there.
+    # Answers counted as evidence when the step began; the step counts from there.
     judged_before: int = 0
-    # Raised by one each time the rollout is started again after a stop.
+    # Incremented each time the rollout is restarted after a stop.
     attempt: typing.Annotated[int, msgspec.Meta(ge=1)] = 1
 
 
 class Withdrawal(Document, frozen=True):
-    """A version that receives no new work, for good."""
+    """A version that permanently receives no new work."""
 
     version: VersionName
     reason: str = ""
 
 
 class Halt(Document, frozen=True):
-    """A version that receives no new session until its rollout starts again."""
+    """A version that receives no new session until its rollout is restarted."""
 
     version: VersionName
     attempt: int
@@ -118,7 +117,7 @@
 
 
 class Drain(Document, frozen=True):
-    """An endpoint that an operator takes out of service."""
+    """An endpoint that an operator has taken out of service."""
 
     endpoint: Name
 
@@ -127,40 +126,40 @@
 
 
 def parse(kind: type[D], data: bytes) -> D:
-    """Decode and check a document from JSON.
+    """Decode and validate a document from JSON.
 
     :raises errors.GaprockError: ``INVALID_CHANGE``, naming the field.
     """
     try:
-        return _checked(msgspec.json.decode(data, type=kind))
+        return _validated(msgspec.json.decode(data, type=kind))
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as exc:
         raise errors.GaprockError(errorcodes.INVALID_CHANGE, str(exc)) from exc
 
 
 def convert(kind: type[D], value: object) -> D:
-    """Check a document that is already decoded.
+    """Validate a document that is already decoded.
 
     :raises errors.GaprockError: ``INVALID_CHANGE``, naming the field.
     """
     try:
-        return _checked(msgspec.convert(value, type=kind))
+        return _validated(msgspec.convert(value, type=kind))
     except msgspec.ValidationError as exc:
         raise errors.GaprockError(errorcodes.INVALID_CHANGE, str(exc)) from exc
 
 
 def to_value(document: Document) -> dict[str, typing.Any]:
-    """Give a document as the plain value that the configuration stores."""
+    """Return a document as the plain value that the configuration stores."""
     return typing.cast("dict[str, typing.Any]", msgspec.to_builtins(document))
 
 
-def _checked(document: D) -> D:
+def _validated(document: D) -> D:
     check(document)
     return document
 
 
 @functools.singledispatch
 def check(document: Document) -> None:
-    """Check what the types of a document's fields cannot say.
+    """Check what the field types of a document cannot express.
 
     :raises errors.GaprockError: ``INVALID_CHANGE``, naming the field.
     """
@@ -187,5 +186,7 @@
         raise _invalid("steps", "takes growing shares")
 
 
-def _invalid(field: str, takes: str) -> errors.GaprockError:
-    return errors.GaprockError(errorcodes.INVALID_CHANGE, f"{takes} - at `$.{field}`")
+def _invalid(field: str, expected: str) -> errors.GaprockError:
+    return errors.GaprockError(
+        errorcodes.INVALID_CHANGE, f"{expected} - at `$.{field}`"
+    )
--- a/gaprock/errorcodes.py
+++ b/gaprock/errorcodes.py
@@ -1,12 +1,12 @@
-"""Result codes: one registered object each, and the only place for their texts.
+"""Registry of the result codes and their texts.
 
-The number tells at a glance whether the request ran:
+The range of a code's number shows whether the request ran:
 
 * 1000 to 1999, *not run*: no endpoint was called; the request may be sent again.
 * 2000 to 2999, *outcome unknown*: an endpoint may have run the request.
 * 3000 to 3999, *ran*: an endpoint ran the request, at least in part.
 
-``docs/RESULT-CODES.md`` is this table for readers; a test compares the two.
+``docs/RESULT-CODES.md`` is generated from this table; a test compares the two.
 """
 
 import enum
@@ -14,14 +14,14 @@
 
 
 class Category(enum.Enum):
-    """What a code says about the run."""
+    """Whether a request with this result was run."""
 
     NOT_RUN = "not run"
     UNKNOWN = "outcome unknown"
     RAN = "ran"
 
 
-# First number of each category's range, and the range's length.
+# First number of each category's range; all ranges have the same length.
 RANGE_START: typing.Final = {
     Category.NOT_RUN: 1000,
     Category.UNKNOWN: 2000,
@@ -33,12 +33,12 @@
 
 
 class ErrorCode:
-    """One result code.
+    """Result code.
 
-    :param number: the code's number; its range gives the category.
+    :param number: the code's number, whose range determines the category.
     :param name: the stable name for logs and clients.
-    :param http_status: the status of an HTTP answer with this code.
-    :param description: the text that opens each message with this code.
+    :param http_status: the status of an HTTP response with this code.
+    :param description: the text at the start of each message with this code.
     """
 
     __slots__ = ("number", "name", "http_status", "description", "category")
@@ -63,9 +63,9 @@
 
 
 def category_of(number: int) -> Category:
-    """Give the category of a code's number.
+    """Return the category of a code's number.
 
-    :raises ValueError: when the number is in no range.
+    :raises ValueError: if the number is in no category's range.
     """
     for category, start in RANGE_START.items():
         if start <= number < start + RANGE_LENGTH:
@@ -74,7 +74,7 @@
 
 
 def get(number: int) -> ErrorCode:
-    """Give the code with this number; an unregistered one means *unknown*."""
+    """Return the code with this number; ``OUTCOME_UNKNOWN`` if it is not registered."""
     return by_number.get(number, OUTCOME_UNKNOWN)
 
 
--- a/gaprock/errors.py
+++ b/gaprock/errors.py
@@ -1,4 +1,4 @@
-"""The one exception that crosses modules: it carries a result code."""
+"""The exception that carries a result code between modules."""
 
 from gaprock import errorcodes
 
@@ -7,8 +7,8 @@
     """A failure with a result code.
 
     :param code: the registered result code.
-    :param detail: what happened, for the reader; it completes the code's text.
-    :param retry_at: when to come back, seconds since the epoch; 0 for never.
+    :param detail: what happened; it follows the code's description in the message.
+    :param retry_at: when to try again, seconds since the epoch; 0 for never.
     """
 
     def __init__(
@@ -24,11 +24,11 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the code promises that no endpoint was called."""
+        """Whether the code guarantees that no endpoint was called."""
         return self.code.category is errorcodes.Category.NOT_RUN
 
 
 def explain(code: errorcodes.ErrorCode, detail: str = "") -> str:
-    """Give the uniform message of a code: text, detail, and whether it ran."""
+    """Return the message of a code: description, detail, number and category."""
     middle = f": {detail}" if detail else ""
     return f"{code.description}{middle} (code {code.number}, {code.category.value})."
--- a/gaprock/eventlog.py
+++ b/gaprock/eventlog.py
@@ -1,7 +1,7 @@
-"""Logs: one line of key=value pairs for each event.
+"""Structured log: one line of key=value pairs for each event.
 
-Values from outside are quoted, so that no caller's text can forge a field
-or a line.  The lines go through ``absl.logging`` to standard error.
+Values with other than plain characters are quoted, so that no caller's text can
+forge a field or a line.  The lines go through ``absl.logging`` to standard error.
 """
 
 import io
@@ -17,7 +17,7 @@
 
 from gaprock import clock
 
-# A value of only these characters stands bare; anything else is quoted.
+# A value of only these characters is written bare; any other is quoted.
 BARE_VALUE: typing.Final = re.compile(r"[A-Za-z0-9_.:/@,+-]+\Z")
 MAX_VALUE_CHARS: typing.Final = 400
 LINE_FORMAT: typing.Final = (
@@ -25,7 +25,7 @@
 )
 TIME_FORMAT: typing.Final = "%Y-%m-%dT%H:%M:%S"
 
-# Lines a second that a bounded log takes, and that it may take at once.
+# Rate and burst of the lines that a bounded log accepts.
 LINES_PER_S: typing.Final = 1500.0
 BURST_LINES: typing.Final = 3000.0
 
@@ -36,67 +36,69 @@
 class BoundedStream(io.TextIOBase):
     """Standard output that never blocks its writer.
 
-    A line that the pipe has no room for, or beyond the rate, is dropped and counted;
-    the count is written with the next line that fits.
+    A line that does not fit into the pipe or exceeds the rate limit is dropped and
+    counted; the next line that is written carries the count.
     """
 
     def __init__(self, fileno: int) -> None:
         super().__init__()
         self._fileno = fileno
-        self._room = BURST_LINES
-        self._filled_at = _steady.now()
-        self._untold = 0
+        self._tokens = BURST_LINES
+        self._refilled_at = _steady.now()
+        self._unreported = 0
         self.dropped = 0
         os.set_blocking(fileno, False)
 
     def write(self, text: str) -> int:
-        """Write a line or drop it."""
+        """Write a line, or drop it if it cannot be written without blocking."""
         now = _steady.now()
-        grown = self._room + (now - self._filled_at) * LINES_PER_S
-        self._room = min(BURST_LINES, grown)
-        self._filled_at = now
-        if self._room < 1.0:
+        refilled = self._tokens + (now - self._refilled_at) * LINES_PER_S
+        self._tokens = min(BURST_LINES, refilled)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             self._drop()
             return len(text)
-        self._room -= 1.0
-        if self._untold:
-            text = f"{text.rstrip()} dropped_before={self._untold}\n"
+        self._tokens -= 1.0
+        if self._unreported:
+            text = f"{text.rstrip()} dropped_before={self._unreported}\n"
         try:
             os.write(self._fileno, text.encode())
-            self._untold = 0
+            self._unreported = 0
         except OSError:
-            # No room, or no reader: the count tells.
+            # The pipe is full or has no reader; the line is counted as dropped.
             self._drop()
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is held back."""
+        """Do nothing, as lines are not buffered."""
 
     def _drop(self) -> None:
         self.dropped += 1
-        self._untold += 1
+        self._unreported += 1
 
 
 _bounded: BoundedStream | None = None
 
 
 def dropped_lines() -> int:
-    """Give the lines that were dropped so far."""
+    """Return the number of lines dropped so far."""
     return _bounded.dropped if _bounded is not None else 0
 
 
 def start(process_name: str, verbose: bool = False, bounded: bool = False) -> None:
-    """Set the name that opens each line of this process.
+    """Configure the log of this process.
 
-    :param bounded: write to standard output without ever blocking.
+    :param process_name: name that each line carries.
+    :param verbose: whether to write debug events.
+    :param bounded: whether to write to standard output without ever blocking.
     """
     global _process_name, _bounded
     _process_name = process_name
     # The settings come from ``options``; absl's own flags keep their defaults.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
-    # The lines carry neither the caller's place nor thread and process, so the
-    # library need not look them up (its documented switches).
+    # The lines carry neither source location, thread nor process, so that the library
+    # does not have to determine them (documented optimisation switches).
     std_logging.logThreads = False
     std_logging.logProcesses = False
     std_logging.logMultiprocessing = False
@@ -111,7 +113,7 @@
 
 
 def quote(value: object) -> str:
-    """Write one value so that it stays one field of one line."""
+    """Format a value so that it stays one field of one line."""
     if isinstance(value, float):
         return f"{value:.6g}" if abs(value) < 1e6 else f"{value:.3f}"
     text = str(value)[:MAX_VALUE_CHARS]
@@ -119,32 +121,32 @@
 
 
 def json_text(text: str) -> str:
-    """Write a text as a JSON string."""
+    """Return a text as a JSON string."""
     return json.dumps(text)
 
 
 def line(event: str, fields: dict[str, object]) -> str:
-    """Build the line of an event."""
+    """Build the line of an event, without time and level."""
     pairs = " ".join(f"{key}={quote(value)}" for key, value in fields.items())
     return f"proc={_process_name} event={event} {pairs}".rstrip()
 
 
 def info(event: str, **fields: object) -> None:
-    """Log an event of normal work."""
+    """Log an event of normal operation."""
     logging.info("%s", line(event, fields))
 
 
 def warning(event: str, **fields: object) -> None:
-    """Log an event that an operator may have to look at."""
+    """Log an event that may need an operator's attention."""
     logging.warning("%s", line(event, fields))
 
 
 def debug(event: str, **fields: object) -> None:
-    """Log a detail, seen only with ``--verbose``."""
+    """Log an event that is written only with ``--verbose``."""
     if logging.level_debug():
         logging.debug("%s", line(event, fields))
 
 
 def info_line(text: str) -> None:
-    """Log a line that ``line`` has built already."""
+    """Log a line that ``line`` built earlier."""
     logging.info("%s", text)
--- a/gaprock/logs.py
+++ b/gaprock/logs.py
@@ -1,4 +1,4 @@
-"""Reads the lines that ``eventlog`` writes, for the tools that explain a failure."""
+"""Parses the lines that ``eventlog`` writes, for diagnostic tools."""
 
 import calendar
 import json
@@ -6,7 +6,7 @@
 import time
 import typing
 
-# A field: a bare value, or one in quotes as JSON writes it.
+# A field with a bare value or a JSON string.
 FIELD: typing.Final = re.compile(r'([A-Za-z_]\w*)=("(?:[^"\\]|\\.)*"|\S*)')
 START: typing.Final = "ts="
 TIME_CHARS: typing.Final = len("2026-01-01T00:00:00")
@@ -15,8 +15,8 @@
 class LogLine(typing.NamedTuple):
     """One event.
 
-    :param at: seconds since the epoch, by the clock of the process that wrote it.
-    :param fields: all others, as texts.
+    :param at: seconds since the epoch, by the clock of the process that logged it.
+    :param fields: all other fields, as texts.
     """
 
     at: float
@@ -25,7 +25,7 @@
     fields: dict[str, str]
 
     def number(self, name: str) -> float:
-        """Give a field as a number; 0 where it is missing or none."""
+        """Return a field as a number; 0 if it is missing or not a number."""
         try:
             return float(self.fields.get(name, ""))
         except ValueError:
@@ -33,9 +33,9 @@
 
 
 def parse(text: str) -> LogLine | None:
-    """Read a line; whatever a collector wrote before it is passed over.
+    """Parse a line; a prefix that a log collector wrote before it is ignored.
 
-    :returns: ``None`` for a text that is no line of ours.
+    :returns: ``None`` if the text is not a line in the log format.
     """
     start = text.find(START)
     if start < 0:
@@ -53,9 +53,9 @@
 
 
 def _seconds(stamp: str) -> float:
-    """Read ``2026-01-01T00:00:00.123Z``.
+    """Convert ``2026-01-01T00:00:00.123Z`` to seconds since the epoch.
 
-    :raises ValueError: when it is none.
+    :raises ValueError: if it is not a time stamp in this format.
     """
     whole = time.strptime(stamp[:TIME_CHARS], "%Y-%m-%dT%H:%M:%S")
     return calendar.timegm(whole) + float("0" + stamp[TIME_CHARS:].rstrip("Z"))
--- a/gaprock/mailbox.py
+++ b/gaprock/mailbox.py
@@ -1,7 +1,7 @@
-"""A mailbox: any thread puts, one thread with a poller takes.
+"""Queue from any thread to one thread that waits in a poller.
 
-The owner polls the mailbox's file descriptor beside its sockets.  Only the
-first put after a drain writes to the descriptor, so a burst costs one wake-up.
+The owning thread polls the mailbox's file descriptor along with its sockets.  Only
+the first put after a drain writes to the descriptor, so a burst costs one wake-up.
 """
 
 import collections
@@ -13,7 +13,7 @@
 
 
 class Mailbox(typing.Generic[T]):
-    """An unbounded queue with a file descriptor; its users bound what they put."""
+    """An unbounded queue with a file descriptor; its users must limit what they put."""
 
     __slots__ = ("_items", "_lock", "_read_fd", "_write_fd", "_signalled", "_closed")
 
@@ -26,11 +26,11 @@
         self._closed = False
 
     def fileno(self) -> int:
-        """Give the descriptor that is readable while items wait."""
+        """Return the descriptor that is readable while items are queued."""
         return self._read_fd
 
     def put(self, item: T) -> None:
-        """Add an item and wake the owner; after ``close`` it is dropped."""
+        """Add an item and wake the owning thread; after ``close``, drop the item."""
         with self._lock:
             if self._closed:
                 return
@@ -40,7 +40,7 @@
                 os.write(self._write_fd, b"\0")
 
     def drain(self) -> list[T]:
-        """Take all items; the owner alone calls this."""
+        """Remove and return all items; only the owning thread calls this."""
         with self._lock:
             if self._signalled:
                 os.read(self._read_fd, 1)
@@ -50,7 +50,7 @@
         return items
 
     def close(self) -> None:
-        """Free the descriptors, after the owner's thread has ended."""
+        """Close the descriptors, once the owning thread has ended."""
         with self._lock:
             self._closed = True
             os.close(self._read_fd)
--- a/gaprock/messages.py
+++ b/gaprock/messages.py
@@ -1,17 +1,18 @@
-"""The messages between entry and agent, and their codec.
+"""Messages between entry and agent, and their codec.
 
 Each message is one MessagePack array whose first element names its type.  An
 entry opens one connection to each agent; messages of one connection stay in order.
 
-A request's way, as messages:
+The messages of one request:
 
-1. entry to agent: ``Start``; the agent answers ``Refused`` (not run) or goes on.
-2. agent to entry: ``Parts``, each part numbered, for many requests in one message.
-3. entry to agent: ``Ack`` as the caller takes the parts; it opens the window again.
+1. entry to agent: ``Start``; the agent answers ``Refused`` (not run) or continues.
+2. agent to entry: ``Parts``; parts are numbered, and one message can carry parts of
+   many requests.
+3. entry to agent: ``Ack`` as the caller reads the parts, which reopens the window.
 4. agent to entry: ``End`` with the number of parts, the result code and the bill.
 5. entry to agent: ``BillsReleased`` once the bill is in the platform's table.
 
-After a reconnect the entry sends ``Resume`` with the next number it needs.
+After a reconnect the entry sends ``Resume`` with the number of the next part it needs.
 """
 
 import typing
@@ -20,21 +21,21 @@
 
 from gaprock import errorcodes, errors, quarantine
 
-# Larger messages are refused before they are decoded.
+# Larger messages are rejected before they are decoded.
 MAX_MESSAGE_BYTES: typing.Final = 32 * 1024 * 1024
 
 
 class ConfigEntry(msgspec.Struct, array_like=True, frozen=True):
-    """One key of the configuration, at the revision that last changed it."""
+    """One key of the configuration, with the revision that last changed it."""
 
     key: str
     revision: int
-    # The JSON document, or ``None`` when the key was deleted.
+    # The JSON document, or ``None`` if the key was deleted.
     value: dict[str, typing.Any] | None
 
 
 class BillLine(msgspec.Struct, array_like=True, frozen=True):
-    """What one attempt used."""
+    """What one attempt of a request used."""
 
     attempt: str
     endpoint: str
@@ -60,27 +61,27 @@
     endpoint: str
     kind: str
     versions: list[str]
-    # Requests running and queued at the agent, and its current limit.
+    # Requests running and queued at the agent, and its current limit of running ones.
     running: int
     queued: int
     limit: int
-    # The load that the endpoint itself reported last.
+    # Load in the last report of the endpoint itself.
     reported: int
-    # Mean seconds of one run, for the estimate of waiting time.
+    # Mean duration of one run, for estimates of the waiting time.
     service_s: float
     memory_free: float = 0.0
 
 
 class Evidence(msgspec.Struct, array_like=True, frozen=True):
-    """Counts of one version's answers, as one process has seen them.
+    """Counts of one version's answers, as seen by one process.
 
-    The counts of one ``source`` only grow, so the newest one replaces the
-    older ones and the sum over the sources is the fleet's evidence.
+    The counts of one ``source`` only grow, so newer counts replace older ones, and
+    the sum over all sources is the evidence of the fleet.
     """
 
     source: str
     version: str
-    # Answers that were judged in any way, and those that were bad.
+    # Answers that were judged in any way, and the bad ones among them.
     answers: int
     bad: int
     # Answers that the rating service judged.
@@ -88,7 +89,7 @@
 
 
 class Known(msgspec.Struct, array_like=True, frozen=True):
-    """The revision that an entry has in force, with the time it was heard."""
+    """The revision that an entry has in force, and when it was last reported."""
 
     process: str
     revision: int
@@ -96,11 +97,11 @@
 
 
 class Message(msgspec.Struct, array_like=True, tag=True):
-    """The base of every message."""
+    """Base class of all messages."""
 
 
 class Beat(Message):
-    """Entry to agent, every interval: I live, and this is what I know."""
+    """Entry to agent, every interval: heartbeat with the entry's state."""
 
     entry: str
     hall: str
@@ -112,7 +113,7 @@
 
 
 class Report(Message):
-    """Agent to entry, every interval and on each change of state."""
+    """Agent to entry, every interval and on each change of the agent's state."""
 
     agent: str
     incarnation: str
@@ -123,9 +124,9 @@
     leaving: bool
     endpoints: list[EndpointLoad]
     evidence: list[Evidence]
-    # Empty when nothing changed since they were named last.
+    # Revisions of the entries; empty if unchanged since they were last sent.
     entries: list[Known]
-    # What other entries told this agent.
+    # Suspicions that other entries reported to this agent.
     suspects: list[quarantine.SuspectUpdate] = []
 
 
@@ -139,7 +140,7 @@
 
 
 class ConfigWanted(Message):
-    """Asks the other side for what changed after ``revision``."""
+    """Either direction: requests all changes after ``revision``."""
 
     revision: int
 
@@ -153,41 +154,41 @@
     template: str
     version: str
     endpoint: str
-    # The sender's revision; an agent that is behind it does not run the request.
+    # The entry's revision; an agent with an older one does not run the request.
     revision: int
-    # A session goes on with its version although new sessions are halted.
+    # Whether the request belongs to an open session, which a halt does not end.
     in_session: bool
     deadline: float
-    # The first part must be there by this time, or queueing is in vain.
+    # Latest useful arrival of the first part; queueing beyond it is pointless.
     first_part_by: float
     priority: int
     stream: bool
-    # Whether another run would do no harm.
+    # Whether the request may safely run again.
     repeatable: bool
     bill_key: str
     cost: float
-    # Earlier versions of the same cascade; the bill names them too.
+    # Bill lines of earlier versions in the same cascade; the bill includes them.
     earlier_lines: list[BillLine]
-    # Parts that may be under way unacknowledged.
+    # Limit of unacknowledged parts in flight.
     window: int
     path: str
     body: bytes
-    # The same for each try of the request (``request_fingerprint``).
+    # Fingerprint, the same for each attempt of a request (``request_fingerprint``).
     mark: int = 0
 
 
 class Ack(Message):
-    """Entry to agent: the caller has taken all parts below ``upto``."""
+    """Entry to agent: the caller has read all parts below ``upto``."""
 
     attempt: int
     upto: int
 
 
 class Resume(Message):
-    """Entry to agent: send again from part ``upto``, which also acknowledges.
+    """Entry to agent: send again from part ``upto``; acknowledges all parts below it.
 
-    ``incarnation`` is the agent process that the request was sent to: only that
-    one can say that it never came.
+    ``incarnation`` is that of the agent process to which the request was sent: only
+    that process can know that the request never arrived.
     """
 
     attempt: int
@@ -196,9 +197,9 @@
 
 
 class Cancel(Message):
-    """Entry to agent: nobody waits for this attempt any more.
+    """Entry to agent: the answer of this attempt is no longer needed.
 
-    ``is_superseded`` says that another attempt takes its place, so it is not billed.
+    ``is_superseded`` means that another attempt replaces it, so it is not billed.
     """
 
     attempt: int
@@ -206,7 +207,7 @@
 
 
 class Refused(Message):
-    """Agent to entry: not run."""
+    """Agent to entry: the attempt was not run."""
 
     attempt: int
     code: int
@@ -215,7 +216,7 @@
 
 
 class Part(msgspec.Struct, array_like=True, frozen=True):
-    """``count`` consecutive parts of one answer, joined, from number ``seq``."""
+    """``count`` consecutive parts of one answer, joined, from number ``seq`` on."""
 
     attempt: int
     seq: int
@@ -224,13 +225,13 @@
 
 
 class Parts(Message):
-    """Agent to entry: parts of many answers."""
+    """Agent to entry: parts of one or more answers."""
 
     parts: list[Part]
 
 
 class End(Message):
-    """Agent to entry: the attempt is over after ``count`` parts."""
+    """Agent to entry: the attempt ended after ``count`` parts."""
 
     attempt: int
     count: int
@@ -238,29 +239,29 @@
     detail: str
     status: int
     content_type: str
-    # Seconds from the call of the endpoint to its first part; below 0 if none.
+    # Time from the call of the endpoint to its first part; below 0 if none.
     first_s: float
     bill: Bill | None
-    # The life of the endpoint that ended under the attempt, if it did, and what that
-    # says against the request.
+    # Incarnation of the endpoint that ended during the attempt, if any, and the weight
+    # of the suspicion against the request that follows from it.
     ended_incarnation: str = ""
     weight: int = 0
 
 
 class BillsReleased(Message):
-    """These bills are in the table or in other hands; the receiver forgets them."""
+    """The bills were written or handed over; the receiver removes them."""
 
     keys: list[str]
 
 
 class BillsHandover(Message):
-    """The sender stops; the receiver holds these bills, and says so at once."""
+    """The sender stops; the receiver keeps these bills and acknowledges at once."""
 
     bills: list[Bill]
 
 
 class Goodbye(Message):
-    """Entry to agent: I end now; nothing of mine is open here any more."""
+    """Entry to agent: the entry ends and has no open requests at this agent."""
 
 
 class Order(Message):
@@ -312,7 +313,7 @@
 def decode(data: bytes) -> AnyMessage:
     """Decode a message.
 
-    :raises errors.GaprockError: ``UNDECODABLE``; nothing has been changed.
+    :raises errors.GaprockError: ``UNDECODABLE``; no state was changed.
     """
     if len(data) > MAX_MESSAGE_BYTES:
         raise errors.GaprockError(errorcodes.UNDECODABLE, f"{len(data)} bytes")
--- a/gaprock/metrics.py
+++ b/gaprock/metrics.py
@@ -1,6 +1,6 @@
-"""Counters and timers, sent by ``statsd`` when a collector is set.
+"""Counters and timers, sent through ``statsd`` if a collector is configured.
 
-``docs/OPERATORS.md`` lists the names and what each one means.
+``docs/OPERATORS.md`` lists the names and their meanings.
 """
 
 import typing
@@ -9,7 +9,7 @@
 
 
 class Metrics:
-    """A thin face over the statsd client; without a collector it does nothing."""
+    """Wrapper of the statsd client that does nothing without a collector."""
 
     __slots__ = ("_client",)
 
@@ -24,6 +24,6 @@
             self._client.incr(name, count)
 
     def timing(self, name: str, milliseconds: float) -> None:
-        """Record a time, in milliseconds."""
+        """Record a duration."""
         if self._client is not None:
             self._client.timing(name, milliseconds)
--- a/gaprock/options_flags.py
+++ b/gaprock/options_flags.py
@@ -1,7 +1,7 @@
-"""Fills ``Options`` from flags and environment variables, and checks them.
+"""Fills ``Options`` from flags and environment variables, and validates them.
 
-Every setting is a flag ``--some-name`` and a variable ``GAPROCK_SOME_NAME``; a
-flag goes before the variable.  One error names every wrong setting.
+Every setting is a flag ``--some-name`` and a variable ``GAPROCK_SOME_NAME``; the
+flag takes precedence.  A single error lists all invalid settings.
 """
 
 import re
@@ -22,18 +22,18 @@
 CURVE_KEY_CHARS: typing.Final = 40
 MIN_SECRET_CHARS: typing.Final = 16
 
-# Checks one value; returns what it takes when the value is wrong.
+# Validates one value; returns what the setting accepts, or an empty text if valid.
 Check = typing.Callable[[typing.Any], str]
 
 
 class Flag:
     """One setting on the command line.
 
-    :param attr: the attribute of ``Options`` that it fills.
-    :param programs: the programs that take it.
+    :param attr: the attribute of ``Options`` that it sets.
+    :param programs: the programs that accept it, separated by spaces.
     :param text: its meaning and unit, for ``--help``.
-    :param check: gives what the setting takes, or an empty text.
-    :param secret: whether its value must appear nowhere.
+    :param check: validates the value.
+    :param secret: whether its value must never be shown.
     """
 
     __slots__ = ("attr", "programs", "text", "check", "secret")
@@ -132,21 +132,26 @@
 
 FLAGS: typing.Final = (
     Flag("vm", DAEMONS, "name of this VM in the VM list", _name),
-    Flag("hall", DAEMONS, "hall this VM stands in", _name),
-    Flag("host", DAEMONS, "IP number to listen on", _ip),
+    Flag("hall", DAEMONS, "hall of this VM", _name),
+    Flag("host", DAEMONS, "IP address to listen on", _ip),
     Flag("platform", DAEMONS, "base address of the platform's services", _url),
     Flag("connector", DAEMONS, "platform plug-in", _plugin(services_api.Connector)),
     Flag("platform_token", DAEMONS, "bearer token for the platform", _any, True),
     Flag("platform_wait_s", DAEMONS, "longest wait for the platform, s", _positive),
     Flag("beat_s", DAEMONS, "time between heartbeats, s", _positive),
-    Flag("silent_s", DAEMONS, "silence that rules a peer out, s", _positive),
+    Flag(
+        "silent_s",
+        DAEMONS,
+        "silence after which a peer gets no new requests, s",
+        _positive,
+    ),
     Flag("config_poll_s", DAEMONS, "time between configuration reads, s", _positive),
     Flag("max_bills", DAEMONS, "unwritten bills held before refusing", _positive),
     Flag("bill_write_s", DAEMONS, "time between writes of bills, s", _positive),
     Flag("drain_s", DAEMONS, "longest wait of a planned stop, s", _positive),
     Flag("statsd_host", DAEMONS, "host of the statsd collector; empty: none", _any),
     Flag("statsd_port", DAEMONS, "port of the statsd collector", _port),
-    Flag("verbose", DAEMONS, "log details as well", _any),
+    Flag("verbose", DAEMONS, "log debug events as well", _any),
     Flag(
         "curve_public",
         DAEMONS,
@@ -155,16 +160,16 @@
     ),
     Flag("curve_secret", DAEMONS, "secret CURVE key", _curve, True),
     Flag("http_port", ENTRY, "port for callers and operators", _port),
-    Flag("agents", ENTRY, "agents known beside the VM list", _tcp_list),
+    Flag("agents", ENTRY, "agents in addition to the VM list", _tcp_list),
     Flag("session_keys", ENTRY, "session keys, the signing one first", _secrets, True),
     Flag("operator_key_hash", ENTRY, "SHA-256 of the operator's key", _hash),
-    Flag("max_open", ENTRY, "requests open at once", _positive),
+    Flag("max_open", ENTRY, "limit of concurrent requests", _positive),
     Flag("spare_threads", ENTRY, "HTTP threads beyond max-open", _positive),
     Flag("max_body", ENTRY, "largest body of a request, bytes", _positive),
-    Flag("retry_share", ENTRY, "second tries as a share of first tries", _share),
+    Flag("retry_share", ENTRY, "retries as a share of first attempts", _share),
     Flag("window", ENTRY, "unacknowledged parts of one stream", _positive),
     Flag("stream_silent_s", DAEMONS, "silence that ends a stream, s", _positive),
-    Flag("linger_s", ENTRY, "serving on after /readyz fails, s", _not_negative),
+    Flag("linger_s", ENTRY, "time of serving on after /readyz fails, s", _not_negative),
     Flag("lease_s", ENTRY, "length of the control lease, s", _positive),
     Flag("vm_poll_s", ENTRY, "time between reads of the VM list, s", _positive),
     Flag("routing", ENTRY, "routing plug-in", _plugin(policy_api.Routing)),
@@ -182,12 +187,14 @@
         _endpoints,
     ),
     Flag("admission", AGENT, "admission plug-in", _plugin(policy_api.Admission)),
-    Flag("max_running", AGENT, "largest limit at one endpoint", _positive),
-    Flag("max_queued", AGENT, "requests waiting for one endpoint", _not_negative),
+    Flag("max_running", AGENT, "upper bound of the limit at one endpoint", _positive),
+    Flag(
+        "max_queued", AGENT, "limit of requests queued for one endpoint", _not_negative
+    ),
     Flag("connect_wait_s", AGENT, "longest wait for a connection, s", _positive),
     Flag("endpoint_silent_s", AGENT, "longest silence of an endpoint, s", _positive),
     Flag("bill_patience_s", AGENT, "wait for the entry to write a bill, s", _positive),
-    Flag("max_resumes", AGENT, "times a cut stream is taken up again", _not_negative),
+    Flag("max_resumes", AGENT, "times a cut stream may be resumed", _not_negative),
     Flag("entry", CTL, "address of any entry", _url),
     Flag("operator_key", CTL, "the operator's key", _any, True),
     Flag("output", CTL, "text or json", _one_of("text", "json")),
@@ -208,7 +215,7 @@
 
 
 def make_parser(program: str, description: str) -> typing.Any:
-    """Make the parser of a program; environment variables count as flags."""
+    """Build the parser of a program; environment variables count as flags."""
     plugin.load_all()
     parser = configargparse.ArgumentParser(
         description=description, allow_abbrev=False, add_config_file_help=False
@@ -220,12 +227,12 @@
 
 
 def fill(program: str, args: typing.Any) -> options.Options:
-    """Turn parsed flags into checked options.
+    """Convert parsed flags to validated options.
 
-    :raises errors.GaprockError: ``SETTINGS``, naming every wrong setting.
+    :raises errors.GaprockError: ``SETTINGS``, listing every invalid setting.
     """
     cfg = options.Options()
-    wrong: list[str] = []
+    problems: list[str] = []
     for flag in FLAGS:
         if program not in flag.programs:
             continue
@@ -235,20 +242,20 @@
             problem = _set(cfg, flag, given)
         problem = problem or flag.check(getattr(cfg, flag.attr))
         if problem:
-            wrong.append(f"{flag.name} ({flag.env}) {problem}")
-    wrong.extend(_across(cfg))
-    if wrong:
-        raise errors.GaprockError(errorcodes.SETTINGS, "; ".join(wrong))
+            problems.append(f"{flag.name} ({flag.env}) {problem}")
+    problems.extend(_check_combinations(cfg))
+    if problems:
+        raise errors.GaprockError(errorcodes.SETTINGS, "; ".join(problems))
     return cfg
 
 
 def parse(program: str, description: str, argv: list[str] | None) -> options.Options:
-    """Parse and check a daemon's settings."""
+    """Parse and validate the settings of a daemon."""
     return fill(program, make_parser(program, description).parse_args(argv))
 
 
 def _set(cfg: options.Options, flag: Flag, text: str) -> str:
-    """Set one attribute from its text; give what it takes if that fails."""
+    """Set one attribute from its text; return the problem if that fails."""
     try:
         setattr(cfg, flag.attr, _convert(flag, getattr(cfg, flag.attr), text))
     except ValueError as exc:
@@ -257,7 +264,7 @@
 
 
 def _convert(flag: Flag, default: object, text: str) -> object:
-    """Read a text as the type of the setting's default."""
+    """Convert a text to the type of the setting's default."""
     if flag.attr == "endpoints":
         return [parse_endpoint(one) for one in text.split(",") if one]
     if isinstance(default, bool):
@@ -274,9 +281,9 @@
 
 
 def parse_endpoint(text: str) -> options.EndpointOption:
-    """Read ``NAME=URL;kind=...;checks-orders=...;versions=V+V``.
+    """Parse ``NAME=URL;kind=...;checks-orders=...;versions=V+V``.
 
-    :raises ValueError: when a field is missing or unknown.
+    :raises ValueError: if a field is invalid or unknown.
     """
     head, *rest = text.split(";")
     name, _, url = head.partition("=")
@@ -299,13 +306,13 @@
     )
 
 
-def _across(cfg: options.Options) -> list[str]:
-    """Check settings that must fit each other."""
-    wrong = []
+def _check_combinations(cfg: options.Options) -> list[str]:
+    """Check settings that depend on each other."""
+    problems = []
     if cfg.silent_s < 2 * cfg.beat_s:
-        wrong.append("--silent-s takes at least two of --beat-s")
+        problems.append("--silent-s takes at least two of --beat-s")
     if bool(cfg.curve_public) != bool(cfg.curve_secret):
-        wrong.append("--curve-public and --curve-secret go together")
+        problems.append("--curve-public and --curve-secret go together")
     if bool(cfg.tls_cert) != bool(cfg.tls_key):
-        wrong.append("--tls-cert and --tls-key go together")
-    return wrong
+        problems.append("--tls-cert and --tls-key go together")
+    return problems
--- a/gaprock/periodic.py
+++ b/gaprock/periodic.py
@@ -1,4 +1,4 @@
-"""A task that runs again and again on a thread of its own."""
+"""Periodic tasks on threads of their own."""
 
 import random
 import threading
@@ -6,15 +6,15 @@
 
 from gaprock import eventlog, services_api
 
-# Periods vary by this share, so that many processes do not act in step.
+# Periods vary by this share, so that many processes do not act at the same time.
 JITTER: typing.Final = 0.2
 
 
 class Periodic:
-    """Calls a function every period until it is stopped.
+    """Calls a function periodically until it is stopped.
 
-    A failing platform is an ordinary event and is logged; any other exception is
-    logged with its type, and the task goes on.
+    A failure of the platform is expected and logged once until the platform is back;
+    any other exception is logged with its type.  The task continues in both cases.
     """
 
     __slots__ = (
@@ -23,7 +23,7 @@
         "_call",
         "_stopped",
         "_thread",
-        "_was_down",
+        "_platform_is_down",
         "_rng",
     )
 
@@ -34,16 +34,16 @@
         self._period_s = period_s
         self._call = call
         self._stopped = threading.Event()
-        self._was_down = False
+        self._platform_is_down = False
         self._rng = random.Random()
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
-        """Begin, with a first call at once."""
+        """Start the thread; it makes the first call immediately."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the call under way."""
+        """Stop the thread and wait until a call in progress has returned."""
         self._stopped.set()
         self._thread.join()
 
@@ -58,14 +58,14 @@
         try:
             self._call()
         except services_api.PlatformError as exc:
-            if not self._was_down:
+            if not self._platform_is_down:
                 eventlog.warning("platform-down", task=self._name, error=exc)
-            self._was_down = True
+            self._platform_is_down = True
             return
         except Exception as exc:
-            # A task must outlive its own faults; the log names them.
+            # A fault in one call must not end the task.
             eventlog.warning("task-failed", task=self._name, error=repr(exc))
             return
-        if self._was_down:
-            self._was_down = False
+        if self._platform_is_down:
+            self._platform_is_down = False
             eventlog.info("platform-back", task=self._name)
--- a/gaprock/plugin.py
+++ b/gaprock/plugin.py
@@ -1,12 +1,12 @@
-"""Plug-ins: the base class and the registry that finds them by kind and name.
+"""Base class of plug-ins, and their registry by kind and name.
 
-A plug-in module registers its classes while it is imported::
+A plug-in module registers its classes when it is imported::
 
     @plugin.register(RoutingPolicy, "two-choices")
     class TwoChoices(RoutingPolicy): ...
 
 ``load_all`` imports the modules that come with gaprock.  A hook that does not
-apply returns ``None``, which means "not mine": the caller goes on to its default.
+apply returns ``None``, and the caller falls back to its default.
 """
 
 import importlib
@@ -22,7 +22,7 @@
     "gaprock.policy_routing",
     "gaprock.services_http",
 )
-# What a gateway needs of them; it starts on small machines.
+# Modules that a gateway needs; it imports no others, as it may run on small VMs.
 GATEWAY_MODULES: typing.Final = (
     "gaprock.policy_guard",
     "gaprock.policy_models",
@@ -33,7 +33,7 @@
 
 
 class Plugin:
-    """The base of every plug-in; a kind is a direct subclass of it."""
+    """Base class of all plug-ins; each direct subclass is a kind."""
 
     __slots__ = ()
 
@@ -44,7 +44,7 @@
 
 
 def register(kind: type[Plugin], name: str) -> typing.Callable[[type[P]], type[P]]:
-    """Make a decorator that registers a class as the plug-in ``name`` of ``kind``."""
+    """Return a decorator that registers a class as the plug-in ``name`` of ``kind``."""
 
     def add(cls: type[P]) -> type[P]:
         _classes[(kind, name)] = cls
@@ -54,19 +54,19 @@
 
 
 def find(kind: type[P], name: str) -> type[P]:
-    """Find a registered class.
+    """Return a registered class.
 
-    :raises KeyError: when no plug-in of this kind has the name.
+    :raises KeyError: if no plug-in of this kind has the name.
     """
     return typing.cast("type[P]", _classes[(kind, name)])
 
 
 def names(kind: type[Plugin]) -> list[str]:
-    """List the registered names of a kind."""
+    """Return the registered names of a kind, sorted."""
     return sorted(name for owner, name in _classes if owner is kind)
 
 
 def load_all(modules: tuple[str, ...] = BUILTIN_MODULES) -> None:
-    """Import plug-in modules, the built-in ones unless told otherwise."""
+    """Import plug-in modules; by default the built-in ones."""
     for module in modules:
         importlib.import_module(module)
--- a/gaprock/report.py
+++ b/gaprock/report.py
@@ -1,9 +1,10 @@
-"""Where requests were lost or late, and why, from the gateways' own logs.
+"""Classifies requests that failed or were late, using the gateways' logs.
 
 ``gaprock report`` reads log files in two steps: ``collect`` groups the lines by
-request, and ``judge`` says of each how it ended and for what reason.  ``Report`` holds
-the sums that ``report_text`` and ``report_html`` show.  Callers that met a closed
-port left no line; the spans in which a process was down stand for them.
+request, and ``classify`` determines the outcome of each request and the reason for it.
+``Report`` holds the totals that ``report_text`` and ``report_html`` render.  Callers
+whose connection was refused left no log line; the report lists the downtimes of
+processes in their place.
 """
 
 import collections
@@ -12,30 +13,31 @@
 
 from gaprock import logs, policy_models
 
-# Width of a row of the table by time, seconds.
-MOMENT_S: typing.Final = 2.0
-# Width of a column of the table of calls to the store, seconds.
-STORE_MOMENT_S: typing.Final = 10.0
-# Longest waits that are listed.
-LONGEST: typing.Final = 10
-# Lines that could not be read, as examples.
-UNREAD_SHOWN: typing.Final = 3
+# Interval covered by one row of the table by time.
+INTERVAL_S: typing.Final = 2.0
+# Interval covered by one column of the table of store calls.
+STORE_INTERVAL_S: typing.Final = 10.0
+# How many of the longest waits are listed.
+MAX_LONGEST_WAITS: typing.Final = 10
+# How many of the lines that could not be parsed are shown as examples.
+MAX_UNPARSED_EXAMPLES: typing.Final = 3
 NONE: typing.Final = "none"
-# Lines of gateways that take an operator's word on a hall into force, closer than this
-# together, are of one order, seconds: it is in force everywhere well within that.
-ORDER_S: typing.Final = 8.0
+# Lines of several gateways about the same change belong to one change if each follows
+# the previous one within this time.  An operator's order on a hall takes effect on all
+# gateways well within it.
+SAME_CHANGE_S: typing.Final = 8.0
 HALL_EVENTS: typing.Final = ("hall-emptied", "hall-back")
 LIMIT_EVENTS: typing.Final = ("endpoint-limited", "endpoint-unlimited")
-LEAVING_EVENTS: typing.Final = ("endpoint-leaving", "endpoint-stays")
+DEPARTURE_EVENTS: typing.Final = ("endpoint-leaving", "endpoint-stays")
 BACKOFF_EVENTS: typing.Final = ("endpoint-backoff", "endpoint-backoff-over")
 RESTORE_EVENTS: typing.Final = ("store-restored",)
 CHANGE_EVENTS: typing.Final = frozenset(
-    HALL_EVENTS + LIMIT_EVENTS + LEAVING_EVENTS + BACKOFF_EVENTS + RESTORE_EVENTS
+    HALL_EVENTS + LIMIT_EVENTS + DEPARTURE_EVENTS + BACKOFF_EVENTS + RESTORE_EVENTS
 )
 
 
-class Ended(enum.Enum):
-    """How a request ended, as its caller saw it."""
+class Outcome(enum.Enum):
+    """Outcome of a request as its caller saw it."""
 
     IN_TIME = "in time"
     DOUBTFUL = "doubtful"
@@ -45,25 +47,26 @@
     LEFT = "caller left"
 
 
-class Verdict(typing.NamedTuple):
-    """What became of a request.
+class ClassifiedRequest(typing.NamedTuple):
+    """Outcome of one request.
 
-    :param reason: why it was not in time; empty where it was.
-    :param waited_s: seconds until its first byte or its end.
+    :param at: when it arrived or was first logged, seconds since the epoch.
+    :param reason: why it was not answered in time; empty if it was.
+    :param waited_s: time until its first byte, or until its end if it had none.
     """
 
-    request: str
+    request_id: str
     route: str
     at: float
-    ended: Ended
+    outcome: Outcome
     reason: str
     waited_s: float
 
 
-class Down(typing.NamedTuple):
-    """A span in which a process took no callers.
+class Downtime(typing.NamedTuple):
+    """Interval in which a process accepted no connections.
 
-    :param planned: whether it said that it stopped.
+    :param planned: whether the process logged a planned stop.
     """
 
     process: str
@@ -73,11 +76,14 @@
 
 
 class Change(typing.NamedTuple):
-    """A change of belief that spread over the gateways.
-
-    :param name: of the hall or the endpoint that it is about.
-    :param event: of the lines that tell it.
-    :param detail: what the first line says besides.
+    """Change of a hall's, an endpoint's or the store's state as gateways learned of it.
+
+    :param name: the hall, endpoint or store epoch that changed.
+    :param event: event name of the lines that report it.
+    :param first: first line about it, seconds after the start of the logs.
+    :param last: last line about it, seconds after the start of the logs.
+    :param gateways: number of lines, one for each gateway.
+    :param detail: value of a further field of the first line, or empty.
     """
 
     name: str
@@ -88,49 +94,48 @@
     detail: str
 
 
-class Collected:
-    """The lines of some logs, by request."""
+class ParsedLogs:
+    """Lines parsed from log files, grouped by request."""
 
     __slots__ = (
         "by_request",
         "store_calls",
         "changes",
-        "down",
+        "downtimes",
         "lines",
-        "unread",
+        "unparsed",
         "first_at",
-        "_last",
+        "_last_lines",
     )
 
     def __init__(self) -> None:
         self.by_request: dict[str, list[logs.LogLine]] = collections.defaultdict(list)
-        # Calls to the shared store.
         self.store_calls: list[logs.LogLine] = []
-        # Changes of what is believed of halls and endpoints, a line for each gateway.
+        # State changes of halls, endpoints and the store, one line for each gateway.
         self.changes: list[logs.LogLine] = []
-        self.down: list[Down] = []
+        self.downtimes: list[Downtime] = []
         self.lines = 0
-        # Texts that are no lines of ours: how many, and some of them.
-        self.unread: tuple[int, list[str]] = (0, [])
+        # Lines that are not in the log format: their number, and some examples.
+        self.unparsed: tuple[int, list[str]] = (0, [])
         self.first_at = 0.0
-        # The last line of each process.
-        self._last: dict[str, logs.LogLine] = {}
+        # Last line of each process.
+        self._last_lines: dict[str, logs.LogLine] = {}
 
-    def take(self, text: str) -> None:
-        """Take one line of a log."""
+    def add(self, text: str) -> None:
+        """Parse one line of a log and add it."""
         line = logs.parse(text)
         if line is None:
-            count, some = self.unread
-            more = [text[:120]] if len(some) < UNREAD_SHOWN else []
-            self.unread = (count + 1, some + more)
+            count, examples = self.unparsed
+            more = [text[:120]] if len(examples) < MAX_UNPARSED_EXAMPLES else []
+            self.unparsed = (count + 1, examples + more)
             return
         self.first_at = min(self.first_at, line.at) if self.lines else line.at
         self.lines += 1
-        last = self._last.get(line.process)
+        last = self._last_lines.get(line.process)
         if line.event == "started" and last is not None:
             planned = last.event == "stopped"
-            self.down.append(Down(line.process, last.at, line.at, planned))
-        self._last[line.process] = line
+            self.downtimes.append(Downtime(line.process, last.at, line.at, planned))
+        self._last_lines[line.process] = line
         if line.event == "store-call":
             self.store_calls.append(line)
         if line.event in CHANGE_EVENTS:
@@ -139,85 +144,91 @@
             self.by_request[line.fields["request"]].append(line)
 
     def was_killed(self, process: str, since: float) -> bool:
-        """Whether a process went down without a word after a time."""
+        """Return whether a process ended after a time without logging a stop."""
         return any(
             d.process == process and d.since >= since and not d.planned
-            for d in self.down
+            for d in self.downtimes
         )
 
 
-def collect(texts: typing.Iterable[str]) -> Collected:
-    """Group the lines of logs by request."""
-    found = Collected()
+def collect(texts: typing.Iterable[str]) -> ParsedLogs:
+    """Parse the lines of logs and group them by request."""
+    parsed = ParsedLogs()
     for text in texts:
         if text.strip():
-            found.take(text)
-    return found
+            parsed.add(text)
+    return parsed
 
 
 # -- One request --
 
 
-def judge(lines: list[logs.LogLine], found: Collected) -> Verdict | None:
-    """Say how a request ended; ``None`` where only a part of its lines is there."""
+def classify(lines: list[logs.LogLine], parsed: ParsedLogs) -> ClassifiedRequest | None:
+    """Return a request's outcome; ``None`` if the logs hold only part of its lines."""
     end = next((line for line in lines if line.event == "request"), None)
     if end is None:
-        return _without_end(lines, found)
-    ended, reason = _end_of(lines, end)
+        return _classify_unfinished(lines, parsed)
+    outcome, reason = _classify_end(lines, end)
     waited_s = end.number("first_s") or end.number("took_s")
     at = end.at - end.number("took_s")
     route = end.fields.get("route", NONE)
-    return Verdict(end.fields["request"], route, at, ended, reason, waited_s)
+    return ClassifiedRequest(
+        end.fields["request"], route, at, outcome, reason, waited_s
+    )
 
 
-def _without_end(lines: list[logs.LogLine], found: Collected) -> Verdict | None:
+def _classify_unfinished(
+    lines: list[logs.LogLine], parsed: ParsedLogs
+) -> ClassifiedRequest | None:
     first, last = lines[0], lines[-1]
     if first.event != "route":
         return None
-    killed = found.was_killed(first.process, last.at)
+    killed = parsed.was_killed(first.process, last.at)
     reason = "cut: its gateway was killed" if killed else "open when the log ends"
     route = first.fields.get("route", NONE)
     waited_s = last.at - first.at
-    return Verdict(
-        first.fields["request"], route, first.at, Ended.FAILED, reason, waited_s
+    return ClassifiedRequest(
+        first.fields["request"], route, first.at, Outcome.FAILED, reason, waited_s
     )
 
 
-def _end_of(lines: list[logs.LogLine], end: logs.LogLine) -> tuple[Ended, str]:
+def _classify_end(lines: list[logs.LogLine], end: logs.LogLine) -> tuple[Outcome, str]:
     result = end.fields.get("result", NONE)
     if result == "caller-gone":
-        return Ended.LEFT, "caller left"
+        return Outcome.LEFT, "caller left"
     if any(line.event == "stream-cut" for line in lines):
-        return Ended.FAILED, "cut: " + _last_failure(lines)
+        return Outcome.FAILED, "cut: " + _last_failure_detail(lines)
     if result == "answered":
-        return _answered(lines, end)
+        return _classify_answered(lines, end)
     if end.number("sends") > 0:
-        return Ended.FAILED, f"{result}: {_last_failure(lines)}"
-    return Ended.REFUSED, f"refused: {result}"
+        return Outcome.FAILED, f"{result}: {_last_failure_detail(lines)}"
+    return Outcome.REFUSED, f"refused: {result}"
 
 
-def _answered(lines: list[logs.LogLine], end: logs.LogLine) -> tuple[Ended, str]:
+def _classify_answered(
+    lines: list[logs.LogLine], end: logs.LogLine
+) -> tuple[Outcome, str]:
     if end.number("status") >= 500:
-        return Ended.FAILED, "the endpoint's own failure"
+        return Outcome.FAILED, "the endpoint's own failure"
     if end.number("goal_s") and end.number("first_s") > end.number("goal_s"):
-        return Ended.LATE, _why_late(lines, end)
+        return Outcome.LATE, _why_late(lines, end)
     if end.number("gap_goal_s") and end.number("gap_s") > end.number("gap_goal_s"):
-        return Ended.LATE, "a pause between events"
-    kept = [line for line in lines if line.event == "model"][-1:]
-    if kept and kept[0].fields.get("confidence", NONE) != NONE:
-        if kept[0].number("confidence") < policy_models.DOUBTFUL:
-            return Ended.DOUBTFUL, _why_doubtful(kept[0])
-    return Ended.IN_TIME, ""
+        return Outcome.LATE, "a pause between events"
+    model_lines = [line for line in lines if line.event == "model"][-1:]
+    if model_lines and model_lines[0].fields.get("confidence", NONE) != NONE:
+        if model_lines[0].number("confidence") < policy_models.DOUBTFUL:
+            return Outcome.DOUBTFUL, _why_doubtful(model_lines[0])
+    return Outcome.IN_TIME, ""
 
 
-def _why_doubtful(kept: logs.LogLine) -> str:
-    if kept.number("climbs_left") < 1:
+def _why_doubtful(model_line: logs.LogLine) -> str:
+    if model_line.number("climbs_left") < 1:
         return "doubtful: no further send allowed"
     return "doubtful: a larger model would be late or hold up others"
 
 
 def _why_late(lines: list[logs.LogLine], end: logs.LogLine) -> str:
-    """Name the largest part of the time to the first byte."""
+    """Return the reason for the largest part of the time to the first byte."""
     start = end.at - end.number("took_s")
     spent: dict[str, float] = collections.defaultdict(float)
     since, waiting_for = start, "no usable endpoint"
@@ -237,99 +248,106 @@
     return "late: " + longest
 
 
-def _last_failure(lines: list[logs.LogLine]) -> str:
+def _last_failure_detail(lines: list[logs.LogLine]) -> str:
     for line in reversed(lines):
         if line.event in ("send-failed", "stream-cut"):
             return line.fields.get("detail", NONE)
     return "no send failed"
 
 
-# -- All of them --
+# -- All requests --
 
 
 class Report:
-    """The sums over all requests."""
+    """Totals over all requests."""
 
-    __slots__ = ("found", "verdicts")
+    __slots__ = ("parsed", "requests")
 
-    def __init__(self, found: Collected) -> None:
-        self.found = found
-        judged = [judge(lines, found) for lines in found.by_request.values()]
-        self.verdicts = sorted((v for v in judged if v), key=lambda v: v.at)
+    def __init__(self, parsed: ParsedLogs) -> None:
+        self.parsed = parsed
+        classified = [classify(lines, parsed) for lines in parsed.by_request.values()]
+        self.requests = sorted((r for r in classified if r), key=lambda r: r.at)
 
-    def by_route(self) -> dict[str, collections.Counter[Ended]]:
-        """Count how requests ended, by route."""
-        counts: dict[str, collections.Counter[Ended]] = {}
-        for verdict in self.verdicts:
-            counter = counts.setdefault(verdict.route, collections.Counter())
-            counter[verdict.ended] += 1
+    def by_route(self) -> dict[str, collections.Counter[Outcome]]:
+        """Count outcomes by route, the busiest route first."""
+        counts: dict[str, collections.Counter[Outcome]] = {}
+        for request in self.requests:
+            counter = counts.setdefault(request.route, collections.Counter())
+            counter[request.outcome] += 1
         return dict(sorted(counts.items(), key=lambda item: -item[1].total()))
 
-    def by_moment(self) -> dict[float, collections.Counter[Ended]]:
-        """Count how requests ended, by the moment at which they came."""
-        counts: dict[float, collections.Counter[Ended]] = {}
-        for verdict in self.verdicts:
-            moment = (verdict.at - self.found.first_at) // MOMENT_S * MOMENT_S
-            counts.setdefault(moment, collections.Counter())[verdict.ended] += 1
+    def by_interval(self) -> dict[float, collections.Counter[Outcome]]:
+        """Count outcomes by the interval in which the requests arrived.
+
+        The keys are the starts of the intervals, seconds after the start of the logs.
+        """
+        counts: dict[float, collections.Counter[Outcome]] = {}
+        for request in self.requests:
+            interval = (request.at - self.parsed.first_at) // INTERVAL_S * INTERVAL_S
+            counts.setdefault(interval, collections.Counter())[request.outcome] += 1
         return dict(sorted(counts.items()))
 
     def by_reason(self) -> list[tuple[str, int]]:
-        """Count the reasons of all requests that were not in time."""
-        reasons = collections.Counter(v.reason for v in self.verdicts if v.reason)
+        """Count the reasons of all requests that were not answered in time."""
+        reasons = collections.Counter(r.reason for r in self.requests if r.reason)
         return reasons.most_common()
 
     def store_calls(self) -> dict[str, collections.Counter[float]]:
-        """Count the calls to the store by kind and table, and by moment."""
+        """Count the calls to the store by kind and table, and by interval."""
         counts: dict[str, collections.Counter[float]] = {}
-        for line in self.found.store_calls:
+        for line in self.parsed.store_calls:
             name = f"{line.fields.get('kind', NONE)} {line.fields.get('table', NONE)}"
-            moment = (line.at - self.found.first_at) // STORE_MOMENT_S * STORE_MOMENT_S
-            counts.setdefault(name, collections.Counter())[moment] += 1
+            interval = (
+                (line.at - self.parsed.first_at) // STORE_INTERVAL_S * STORE_INTERVAL_S
+            )
+            counts.setdefault(name, collections.Counter())[interval] += 1
         return dict(sorted(counts.items(), key=lambda item: -item[1].total()))
 
     def halls(self) -> list[Change]:
-        """Give when halls were emptied and taken back, over all gateways."""
+        """Return when halls were cordoned and uncordoned, over all gateways."""
         return self._changes(HALL_EVENTS, "hall")
 
     def limits(self) -> list[Change]:
-        """Give when endpoints named rate limits, over all gateways."""
+        """Return when endpoints announced rate limits, over all gateways."""
         return self._changes(LIMIT_EVENTS, "endpoint", "per_s")
 
     def departures(self) -> list[Change]:
-        """Give when endpoints were found to leave, by which word, over all gateways."""
-        return self._changes(LEAVING_EVENTS, "endpoint")
+        """Return when endpoints were found to be leaving, over all gateways."""
+        return self._changes(DEPARTURE_EVENTS, "endpoint")
 
     def backoffs(self) -> list[Change]:
-        """Give when endpoints asked for backoffs, over all gateways."""
+        """Return when endpoints asked for backoffs, over all gateways."""
         return self._changes(BACKOFF_EVENTS, "endpoint", "for_s")
 
     def restores(self) -> list[Change]:
-        """Give when the store was found to be restored, over all gateways."""
+        """Return when the store was found to be restored, over all gateways."""
         return self._changes(RESTORE_EVENTS, "epoch", "old")
 
     def _changes(
         self, events: tuple[str, ...], name: str, detail: str = ""
     ) -> list[Change]:
-        """Put together what several gateways tell of the same change.
+        """Merge the lines of several gateways about the same change.
 
-        :param name: the field that says what it is about.
+        :param events: names of the events to merge.
+        :param name: field that names what changed.
+        :param detail: field whose value also has to agree, if given.
         """
-        found: list[Change] = []
+        merged: list[Change] = []
         latest: dict[tuple[str, str, str], int] = {}
-        lines = [line for line in self.found.changes if line.event in events]
-        for line in sorted(lines, key=lambda one: one.at):
+        lines = [line for line in self.parsed.changes if line.event in events]
+        for line in sorted(lines, key=lambda item: item.at):
             text = line.fields.get(detail, "")
             key = line.fields.get(name, NONE), line.event, text
-            at = line.at - self.found.first_at
+            at = line.at - self.parsed.first_at
             known = latest.get(key)
-            if known is None or at > found[known].last + ORDER_S:
-                latest[key] = len(found)
-                found.append(Change(key[0], line.event, at, at, 1, text))
+            if known is None or at > merged[known].last + SAME_CHANGE_S:
+                latest[key] = len(merged)
+                merged.append(Change(key[0], line.event, at, at, 1, text))
             else:
-                old = found[known]
-                found[known] = old._replace(last=at, gateways=old.gateways + 1)
-        return found
+                old = merged[known]
+                merged[known] = old._replace(last=at, gateways=old.gateways + 1)
+        return merged
 
-    def longest(self) -> list[Verdict]:
-        """Give the longest waits."""
-        return sorted(self.verdicts, key=lambda v: -v.waited_s)[:LONGEST]
+    def longest(self) -> list[ClassifiedRequest]:
+        """Return the requests that waited longest."""
+        return sorted(self.requests, key=lambda r: -r.waited_s)[:MAX_LONGEST_WAITS]
--- a/gaprock/report_html.py
+++ b/gaprock/report_html.py
@@ -1,4 +1,7 @@
-"""A report as one self-contained page with plots; needs the extra ``plots``."""
+"""Renders a report as one self-contained HTML page with plots.
+
+Needs the extra ``plots``.
+"""
 
 import html
 import io
@@ -7,12 +10,12 @@
 from gaprock import report, report_text
 
 COLOURS: typing.Final = {
-    report.Ended.IN_TIME: "#4c9f70",
-    report.Ended.DOUBTFUL: "#d9b44a",
-    report.Ended.LATE: "#e08e45",
-    report.Ended.REFUSED: "#8d6fb8",
-    report.Ended.FAILED: "#c0504d",
-    report.Ended.LEFT: "#9a9a9a",
+    report.Outcome.IN_TIME: "#4c9f70",
+    report.Outcome.DOUBTFUL: "#d9b44a",
+    report.Outcome.LATE: "#e08e45",
+    report.Outcome.REFUSED: "#8d6fb8",
+    report.Outcome.FAILED: "#c0504d",
+    report.Outcome.LEFT: "#9a9a9a",
 }
 PAGE: typing.Final = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>gaprock report</title>
@@ -21,44 +24,46 @@
 """
 
 
-class NoPlots(Exception):
-    """The library for plots is not installed."""
+class PlotsUnavailable(Exception):
+    """The plotting library is not installed."""
 
 
-def render(found: report.Report) -> str:
-    """Write the page.
+def render(summary: report.Report) -> str:
+    """Return the page.
 
-    :raises NoPlots: without the extra ``plots``.
+    :raises PlotsUnavailable: if the extra ``plots`` is not installed.
     """
     plots = [
-        _plot("by the second they came", {f"{k:.0f}": v for k, v in _moments(found)}),
-        _plot("by route", found.by_route()),
+        _plot(
+            "by the second they came", {f"{k:.0f}": v for k, v in _intervals(summary)}
+        ),
+        _plot("by route", summary.by_route()),
     ]
     return PAGE.format(
-        plots="".join(plots), text=html.escape(report_text.render(found))
+        plots="".join(plots), text=html.escape(report_text.render(summary))
     )
 
 
-def _moments(found: report.Report) -> list[tuple[float, typing.Any]]:
-    return list(found.by_moment().items())
+def _intervals(summary: report.Report) -> list[tuple[float, typing.Any]]:
+    return list(summary.by_interval().items())
 
 
 def _plot(title: str, rows: dict[str, typing.Any]) -> str:
-    """Draw stacked bars as SVG."""
+    """Return a stacked bar chart as SVG."""
     try:
         from matplotlib import figure
     except ImportError as exc:
-        raise NoPlots("pip install 'gaprock[plots]'") from exc
-    drawn = figure.Figure(figsize=(11, 3.5), layout="constrained")
-    axes = drawn.subplots()
-    names, below = list(rows), [0] * len(rows)
-    for ended, colour in COLOURS.items():
-        counts = [rows[name][ended] for name in names]
-        axes.bar(names, counts, bottom=below, color=colour, label=ended.value)
-        below = [low + count for low, count in zip(below, counts)]
+        raise PlotsUnavailable("pip install 'gaprock[plots]'") from exc
+    chart = figure.Figure(figsize=(11, 3.5), layout="constrained")
+    axes = chart.subplots()
+    names, bottoms = list(rows), [0] * len(rows)
+    for outcome, colour in COLOURS.items():
+        counts = [rows[name][outcome] for name in names]
+        axes.bar(names, counts, bottom=bottoms, color=colour, label=outcome.value)
+        bottoms = [bottom + count for bottom, count in zip(bottoms, counts)]
     axes.set_title(f"Requests {title}")
     axes.tick_params(axis="x", labelrotation=60, labelsize=7)
     axes.legend(fontsize=7, ncols=len(COLOURS))
     out = io.StringIO()
-    drawn.savefig(out, format="svg")
+    chart.savefig(out, format="svg")
     return out.getvalue().partition("<svg")[1] + out.getvalue().partition("<svg")[2]
--- a/gaprock/test/conftest.py
+++ b/gaprock/test/conftest.py
@@ -1,8 +1,9 @@
-"""The gateway of many tests, and the list of known red tests.
+"""The fixture with one gateway, and the handling of tests that are known to fail.
 
-The tests that ``KNOWN-RED.txt`` lists are passed over and printed.  A line there is
-``test | cause | issue``.  A listed test still runs, and one that passes fails the run,
-so that no line outlives its fault; but for a cause that begins with ``sometimes:``.
+``KNOWN-RED.txt`` lists tests that are expected to fail, one a line, as
+``test | cause | issue``.  They are run and printed, but don't fail the run.  A listed
+test that passes does fail it, so that no line outlives its fault, unless the cause
+begins with ``sometimes:``.
 """
 
 import pathlib
@@ -13,16 +14,16 @@
 from gaprock.test import gatewaysite
 
 LIST: typing.Final = pathlib.Path(__file__).resolve().parents[2] / "KNOWN-RED.txt"
-# Begins the cause of a test that fails now and then.
-SOMETIMES: typing.Final = "sometimes:"
-# A longer list would hide what is broken.
-MOST: typing.Final = 3
+# Prefix of the cause of a test that fails only sometimes.
+FLAKY_PREFIX: typing.Final = "sometimes:"
+# A longer list would hide how much is broken.
+MAX_KNOWN_RED: typing.Final = 3
 
 
 class KnownRed(typing.NamedTuple):
-    """A test that fails for a real fault.
+    """Test that is known to fail because of a real fault.
 
-    :param test: its node id, without a parameter's.
+    :param test: its node id, without the parameters in brackets.
     """
 
     test: str
@@ -31,13 +32,13 @@
 
 
 def read_list(text: str) -> list[KnownRed]:
-    """Read the list.
+    """Parse the list.
 
-    :raises ValueError: when a line is not of three parts, or there are too many.
+    :raises ValueError: if a line is not in three parts, or there are too many lines.
     """
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise ValueError(f"{len(lines)} known red tests, at most {MOST}")
+    if len(lines) > MAX_KNOWN_RED:
+        raise ValueError(f"{len(lines)} known red tests, at most {MAX_KNOWN_RED}")
     found = []
     for line in lines:
         parts = [part.strip() for part in line.split(" | ")]
@@ -51,18 +52,18 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect the listed tests to fail."""
+    """Mark the listed tests as expected to fail."""
     by_test = {known.test: known for known in KNOWN}
     for item in items:
         known = by_test.get(item.nodeid.partition("[")[0])
         if known is not None:
             reason = f"{known.cause} ({known.issue})"
-            is_strict = not known.cause.startswith(SOMETIMES)
+            is_strict = not known.cause.startswith(FLAKY_PREFIX)
             item.add_marker(pytest.mark.xfail(strict=is_strict, reason=reason))
 
 
 def pytest_terminal_summary(terminalreporter: typing.Any) -> None:
-    """Print the list at the end of every run."""
+    """Print the list at the end of each run."""
     for known in KNOWN:
         line = f"KNOWN RED: {known.test}: {known.cause} ({known.issue})"
         terminalreporter.write_line(line)
@@ -70,6 +71,6 @@
 
 @pytest.fixture
 def site() -> typing.Iterator[gatewaysite.GatewaySite]:
-    """Run a gateway before stand-ins of the store and of endpoints."""
+    """Run a gateway with fakes of the store and of endpoints."""
     with gatewaysite.GatewaySite() as made:
         yield made
--- a/gaprock/test/ports.py
+++ b/gaprock/test/ports.py
@@ -1,14 +1,14 @@
-"""Ports for programs that bind them later, which no other test run is given."""
+"""Allocates ports for programs that bind them later, distinct for each test process."""
 
 import os
 import socket
 import threading
 import typing
 
-# Below the range from which the machine gives ports to outgoing connections
-# (32768 to 60999 by default), above the ports of common services.
-FIRST: typing.Final = 10_240
-END: typing.Final = 32_768
+# Above the ports of common services, and below the range from which the system
+# allocates ports for outgoing connections (32768 to 60999 by default).
+FIRST_PORT: typing.Final = 10_240
+END_PORT: typing.Final = 32_768
 BLOCK_PORTS: typing.Final = 1_024
 
 _lock = threading.Lock()
@@ -17,16 +17,16 @@
 class PortBlock:
     """A range of ports that one process owns.
 
-    Listening at the first port of the range is the claim; it lasts until the process
-    ends, and every other process passes such a range over.
+    A process claims a range by listening at its first port.  The claim lasts until the
+    process ends; other processes skip the range.
     """
 
     __slots__ = ("_claim", "_first", "_next")
 
     def __init__(self) -> None:
-        count = (END - FIRST) // BLOCK_PORTS
+        count = (END_PORT - FIRST_PORT) // BLOCK_PORTS
         for number in range(count):
-            first = FIRST + (os.getpid() + number) % count * BLOCK_PORTS
+            first = FIRST_PORT + (os.getpid() + number) % count * BLOCK_PORTS
             claim = _listen(first)
             if claim is not None:
                 self._claim, self._first, self._next = claim, first, 1
@@ -34,9 +34,9 @@
         raise OSError(f"all {count} ranges of test ports are claimed")
 
     def take(self) -> int:
-        """Return the next port at which nothing listens, the oldest one first.
+        """Return a port at which nothing listens, the one given out longest ago first.
 
-        :raises OSError: when something listens at each port of the range.
+        :raises OSError: if something listens at every port of the range.
         """
         for _ in range(BLOCK_PORTS):
             port, self._next = self._first + self._next, self._next + 1
@@ -50,7 +50,7 @@
 
 
 def _listen(port: int) -> socket.socket | None:
-    """Listen at a port on all addresses, if nothing else does on any of them."""
+    """Listen at a port on all addresses; return ``None`` if it is in use on any."""
     try:
         return socket.create_server(("", port))
     except OSError:
@@ -61,7 +61,7 @@
 
 
 def free_port() -> int:
-    """Return a port that is free and that no other process of the tests is given."""
+    """Return a free port that no other test process is given."""
     global _block
     with _lock:
         if _block is None:
--- a/gaprock/test/testconfig.py
+++ b/gaprock/test/testconfig.py
@@ -1,4 +1,4 @@
-"""Configuration: what is allowed, withdrawn, accepted and in force."""
+"""Configuration: permissions, withdrawals, publications, the lease and rollouts."""
 
 import threading
 import typing
@@ -68,7 +68,7 @@
 
 
 class GateCase:
-    """A gate whose endpoint has every version and only counts what runs."""
+    """An agent's gate whose endpoint serves all versions and only records the runs."""
 
     def __init__(self) -> None:
         plugin.load_all()
@@ -79,12 +79,12 @@
         self.config = config.Config()
         self.posted: list[typing.Any] = []
         self.ran: list[str] = []
-        book = bills.BillBuffer(tables.TableFake(), bills.AGENT, 10, clock.Clock())
+        buffer = bills.BillBuffer(tables.TableFake(), bills.AGENT, 10, clock.Clock())
         self.gate = agent_gate.Gate(
             cfg,
             clock.Clock(),
             self.config,
-            book,
+            buffer,
             metrics.Metrics(),
             lambda peer, msg: self.posted.append(msg),
             quarantine.Quarantine(clock.Clock()),
@@ -92,13 +92,13 @@
         slot = self.gate.slots["a"]
         slot.failures = 0
         slot.load.versions = list(VERSIONS)
-        setattr(self.gate, "_execute", self._note_run)
+        setattr(self.gate, "_execute", self._record_run)
 
-    def _note_run(self, slot: agent_gate.Slot, run: agent_run.Run) -> None:
+    def _record_run(self, slot: agent_gate.Slot, run: agent_run.Run) -> None:
         self.ran.append(run.start.version)
 
     def offer(self, start: messages.Start) -> list[str]:
-        """Offer a request; give the versions that ran."""
+        """Offer a request and return the versions that ran."""
         self.ran.clear()
         self.posted.clear()
         run = agent_run.Run(
@@ -111,7 +111,7 @@
         return self.ran
 
 
-# The history of a template: the versions that each revision allows.
+# History of a template: the versions that each revision allows.
 histories = strategies.lists(
     strategies.sets(strategies.sampled_from(VERSIONS), min_size=1),
     min_size=1,
@@ -130,16 +130,16 @@
     history: list[set[str]], entry_at: int, agent_at: int, version: str
 ) -> None:
     entry_at, agent_at = min(entry_at, len(history)), min(agent_at, len(history))
-    rig = GateCase()
+    case = GateCase()
     for revision in range(1, agent_at + 1):
         allowed = site.template(*sorted(history[revision - 1]))
-        rig.config.apply(delta_of(revision, revision - 1, site.workspace(), allowed))
+        case.config.apply(delta_of(revision, revision - 1, site.workspace(), allowed))
     newest = max(entry_at, agent_at)
     may_run = newest > 0 and version in history[newest - 1] and agent_at >= entry_at
-    ran = rig.offer(start_message(version, entry_at))
+    ran = case.offer(start_message(version, entry_at))
     assert (ran == [version]) == may_run
     if not may_run:
-        (refused,) = rig.posted
+        (refused,) = case.posted
         assert errorcodes.get(refused.code).category is errorcodes.Category.NOT_RUN
 
 
@@ -189,7 +189,7 @@
         done = s.entries[0].publisher.publish_urgent(documents.Withdrawal("small@1"))
         assert not done.accepted
         site.wait_until(lambda: s.entries[1].config.withdrawn("small@1"), "entry 1")
-        # An entry that starts now learns it from the agents alone.
+        # An entry that starts now can learn of the withdrawal only from the agents.
         s.start_entry()
         s.wait_linked()
         site.wait_until(lambda: s.entries[2].config.withdrawn("small@1"), "entry 2")
@@ -283,7 +283,7 @@
         assert in_table == outcome
     table.faults.clear()
     table.land()
-    # A late try never comes on top of one that took effect.
+    # A delayed attempt must not take effect in addition to an earlier one.
     assert table.row(config_store.HEAD).version <= 1
     if not unknown:
         assert table.row(config_store.HEAD).version == outcome
@@ -299,7 +299,7 @@
     paused = first.condition()
     now.advance(6)
     assert second.refresh() and second.epoch == first.epoch + 1
-    # The first one wakes up and still believes.
+    # The first holder resumes and still assumes that it holds the lease.
     with pytest.raises(errors.GaprockError) as caught:
         store.publish("drain/x", {"endpoint": "x"}, 0, [paused])
     assert caught.value.code is errorcodes.FENCED
@@ -385,7 +385,8 @@
             )
 
         site.wait_until(lambda: step_in_table() == 1, "first step")
-        # The holder dies with the rollout halfway: its tasks stop, its lease lapses.
+        # The holder fails in the middle of the rollout: its tasks stop and its lease
+        # expires.
         for task in holder._tasks:
             task.stop()
         site.wait_until(lambda: other.lease.held, "next holder")
@@ -414,7 +415,7 @@
         assert s.platform.value("config/head")["revision"] == before
 
 
-def test_reading_on_gives_the_same_as_reading_all() -> None:
+def test_reading_the_log_gives_the_same_configuration_as_reading_all() -> None:
     table = tables.TableFake()
     store = config_store.ConfigStore(table)
     follower = config.Config()
--- a/gaprock/test/testdocs.py
+++ b/gaprock/test/testdocs.py
@@ -1,4 +1,4 @@
-"""Pages and files that must match the code, and log lines that cannot be forged."""
+"""Generated pages, proofs, result codes, log quoting and the list of known failures."""
 
 import pytest
 
@@ -13,8 +13,8 @@
     assert write_pages.PAGES[name](text) == text
 
 
-def test_each_proof_turns_off_what_is_there() -> None:
-    """A proof whose mechanism has moved would show nothing when it is run."""
+def test_each_proof_replaces_code_that_is_present() -> None:
+    """A proof has no effect if the code that it replaces is no longer in the source."""
     for proof in proofs_gateway.ALL:
         for edit in proof.edits:
             text = (write_pages.ROOT / "gaprock" / edit.file).read_text()
@@ -36,7 +36,7 @@
     assert line.count('request="') == 1
 
 
-def test_the_list_of_known_red_tests_is_short_and_whole() -> None:
+def test_the_list_of_known_red_tests_is_short_and_well_formed() -> None:
     line = "test_x.py::test_y | a cause | issue 1"
     found = conftest.read_list(f"{line}\n\n")
     assert found == [conftest.KnownRed("test_x.py::test_y", "a cause", "issue 1")]
--- a/gaprock/test/testreport.py
+++ b/gaprock/test/testreport.py
@@ -1,4 +1,4 @@
-"""The report on logs: what it says of each request, and of bad input."""
+"""Reports on logs: classification of requests, state changes and bad input."""
 
 import pathlib
 import typing
@@ -11,7 +11,7 @@
 
 
 def line(second: float, event: str, proc: str = GATEWAY, **fields: typing.Any) -> str:
-    """Write a line as a gateway does, with what a collector puts before it."""
+    """Build a gateway's log line with the prefix that a log collector adds."""
     pairs = " ".join(f"{name}={value}" for name, value in fields.items())
     stamp = f"2026-01-01T00:00:{second:06.3f}Z"
     return (
@@ -32,13 +32,13 @@
     return line(second, "request", request=request, **(fields | more))
 
 
-def judged(*lines: str) -> report.Verdict:
+def classified(*lines: str) -> report.ClassifiedRequest:
     found = report.Report(report.collect(lines))
-    assert len(found.verdicts) == 1
-    return found.verdicts[0]
+    assert len(found.requests) == 1
+    return found.requests[0]
 
 
-def test_a_line_is_read_whatever_stands_before_it() -> None:
+def test_a_line_is_parsed_whatever_prefix_it_has() -> None:
     found = logs.parse(line(1.5, "repeat", reason='"status 500, \\"x\\""', sends=2))
     assert found is not None
     assert (found.process, found.event) == (GATEWAY, "repeat")
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "how", "reason"),
+    ("lines", "outcome", "reason"),
     [
-        ([ended(2, "a", first_s=0.5)], report.Ended.IN_TIME, ""),
+        ([ended(2, "a", first_s=0.5)], report.Outcome.IN_TIME, ""),
         (
             [ended(2, "a", "leaving", sends=0)],
-            report.Ended.REFUSED,
+            report.Outcome.REFUSED,
             "refused: leaving",
         ),
         (
@@ -62,12 +62,12 @@
                 line(1, "send-failed", request="a", detail="deadline"),
                 ended(2, "a", "deadline-running"),
             ],
-            report.Ended.FAILED,
+            report.Outcome.FAILED,
             "deadline-running: deadline",
         ),
         (
             [ended(2, "a", status=500)],
-            report.Ended.FAILED,
+            report.Outcome.FAILED,
             "the endpoint's own failure",
         ),
         (
@@ -76,7 +76,7 @@
                 line(3, "model", request="a", confidence=90),
                 ended(3, "a", first_s=2, took_s=2),
             ],
-            report.Ended.LATE,
+            report.Outcome.LATE,
             "late: the engine's queue",
         ),
         (
@@ -85,12 +85,12 @@
                 line(3, "model", request="a", confidence=90),
                 ended(3, "a", first_s=2, took_s=2),
             ],
-            report.Ended.LATE,
+            report.Outcome.LATE,
             "late: reading its own prompt",
         ),
         (
             [ended(2, "a", first_s=0.1, gap_s=2, gap_goal_s=0.5)],
-            report.Ended.LATE,
+            report.Outcome.LATE,
             "a pause between events",
         ),
         (
@@ -98,7 +98,7 @@
                 line(1, "model", request="a", confidence=20, climbs_left=1),
                 ended(2, "a", first_s=0.5),
             ],
-            report.Ended.DOUBTFUL,
+            report.Outcome.DOUBTFUL,
             "doubtful: a larger model would be late or hold up others",
         ),
         (
@@ -106,7 +106,7 @@
                 line(1, "stream-cut", request="a", detail="stuck"),
                 ended(2, "a", first_s=0.5),
             ],
-            report.Ended.FAILED,
+            report.Outcome.FAILED,
             "cut: stuck",
         ),
         (
@@ -114,25 +114,25 @@
                 line(1, "route", request="a", route="r"),
                 line(3, "started"),
             ],
-            report.Ended.FAILED,
+            report.Outcome.FAILED,
             "cut: its gateway was killed",
         ),
         (
             [line(1, "route", request="a", route="r")],
-            report.Ended.FAILED,
+            report.Outcome.FAILED,
             "open when the log ends",
         ),
-        ([ended(2, "a", "caller-gone")], report.Ended.LEFT, "caller left"),
+        ([ended(2, "a", "caller-gone")], report.Outcome.LEFT, "caller left"),
     ],
 )
-def test_each_end_has_its_reason(
-    lines: list[str], how: report.Ended, reason: str
+def test_each_outcome_has_its_reason(
+    lines: list[str], outcome: report.Outcome, reason: str
 ) -> None:
-    verdict = judged(*lines)
-    assert (verdict.ended, verdict.reason) == (how, reason)
+    request = classified(*lines)
+    assert (request.outcome, request.reason) == (outcome, reason)
 
 
-def test_the_shares_of_the_reasons_add_up() -> None:
+def test_the_shares_of_the_reasons_add_up_to_all_that_were_not_in_time() -> None:
     found = report.Report(
         report.collect(
             [ended(n, f"a{n}", "leaving", sends=0) for n in range(3)]
@@ -145,7 +145,7 @@
     assert "25.0%  the endpoint's own failure" in text
 
 
-def test_a_planned_stop_is_told_from_a_kill() -> None:
+def test_a_planned_stop_is_distinguished_from_a_kill() -> None:
     found = report.collect(
         [
             line(1, "stopped"),
@@ -154,13 +154,13 @@
             line(4, "started", proc="gateway-2"),
         ]
     )
-    assert [(d.process, d.planned) for d in found.down] == [
+    assert [(d.process, d.planned) for d in found.downtimes] == [
         (GATEWAY, True),
         ("gateway-2", False),
     ]
 
 
-def test_lines_that_cannot_be_read_are_counted_and_shown(
+def test_lines_that_cannot_be_parsed_are_counted_and_shown(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "one.log"
@@ -172,7 +172,7 @@
     assert "every request was answered in time" in text
 
 
-def test_an_empty_log_and_a_missing_file_have_clear_ends(
+def test_an_empty_log_and_a_missing_file_have_distinct_exit_codes(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "empty.log"
@@ -182,7 +182,7 @@
     assert ctl_main.main(["report", str(tmp_path / "none")]) == ctl_report.EXIT_USAGE
 
 
-def test_the_page_stands_by_itself(tmp_path: pathlib.Path) -> None:
+def test_the_html_page_is_self_contained_and_escaped(tmp_path: pathlib.Path) -> None:
     log, page = tmp_path / "one.log", tmp_path / "one.html"
     log.write_text(ended(2, "a<b", first_s=0.5) + "\n" + ended(3, "c", status=500))
     assert ctl_report.run([str(log)], str(page)) == ctl_report.EXIT_DONE
@@ -192,11 +192,11 @@
     assert "a&lt;b" in text
 
 
-def test_without_the_plots_library_the_page_is_refused(
+def test_a_missing_plotting_library_is_a_usage_error(
     monkeypatch: pytest.MonkeyPatch, tmp_path: pathlib.Path
 ) -> None:
     def refuse(found: report.Report) -> str:
-        raise report_html.NoPlots("pip install 'gaprock[plots]'")
+        raise report_html.PlotsUnavailable("pip install 'gaprock[plots]'")
 
     monkeypatch.setattr(report_html, "render", refuse)
     log = tmp_path / "one.log"
@@ -204,7 +204,7 @@
     assert ctl_report.run([str(log)], str(tmp_path / "p")) == ctl_report.EXIT_USAGE
 
 
-def test_calls_to_the_store_are_counted_by_kind_table_and_moment() -> None:
+def test_calls_to_the_store_are_counted_by_kind_table_and_interval() -> None:
     lines = [
         line(1, "store-call", kind="read", table="op", outcome="answered"),
         line(2, "store-call", proc="g2", kind="read", table="op", outcome="answered"),
@@ -221,7 +221,7 @@
     assert ["poll", "servers", "1", "0", "1"] in shown
 
 
-def test_halls_that_are_emptied_and_taken_back_are_listed() -> None:
+def test_halls_that_are_cordoned_and_uncordoned_are_listed() -> None:
     lines = [
         line(5.0 + 0.1 * number, "hall-emptied", f"gateway-{number}", hall="h1")
         for number in range(3)
--- a/gaprock/wire.py
+++ b/gaprock/wire.py
@@ -1,8 +1,8 @@
-"""Sockets between entry and agent: how they are made, and their limits.
+"""Creation of the sockets between entry and agent, and their limits.
 
-A ROUTER that has reached its high-water mark drops messages without a word.
-Ours has none: what may be under way is bounded by a window for each answer, and
-a peer that falls silent is forgotten together with its queue.
+A ROUTER socket silently drops messages once it has reached its high-water mark.
+These sockets have none: a window for each answer limits the data in flight, and a
+peer that falls silent is removed together with its queue.
 """
 
 import typing
@@ -12,10 +12,10 @@
 
 from gaprock import options
 
-# No high-water mark; see the module.
+# No high-water mark, for the reason given at the head of this module.
 UNLIMITED: typing.Final = 0
-# Times of the transport's own heartbeats, milliseconds: they end the connection
-# to a host that vanished without closing it.
+# The transport's own heartbeats end connections to hosts that vanished without closing
+# them.
 HEARTBEAT_MS: typing.Final = 2_000
 HEARTBEAT_TIMEOUT_MS: typing.Final = 6_000
 RECONNECT_MS: typing.Final = 100
@@ -26,10 +26,10 @@
 def open_router(
     context: zmq.Context[typing.Any], cfg: options.Options
 ) -> zmq.Socket[bytes]:
-    """Open an agent's socket, bound to its port."""
+    """Open an agent's socket, without binding it."""
     sock: zmq.Socket[bytes] = context.socket(zmq.ROUTER)
     _set_common(sock)
-    # An unknown peer is an error rather than a silent drop.
+    # Sending to an unknown peer raises an error instead of dropping the message.
     sock.setsockopt(zmq.ROUTER_MANDATORY, 1)
     sock.setsockopt(zmq.ROUTER_HANDOVER, 1)
     if cfg.curve_secret:
@@ -43,11 +43,11 @@
 def open_dealer(
     context: zmq.Context[typing.Any], cfg: options.Options, identity: str
 ) -> zmq.Socket[bytes]:
-    """Open an entry's socket to one agent, not yet connected."""
+    """Open an entry's socket to one agent, without connecting it."""
     sock: zmq.Socket[bytes] = context.socket(zmq.DEALER)
     _set_common(sock)
     sock.setsockopt(zmq.IDENTITY, identity.encode()[:MAX_IDENTITY_BYTES])
-    # Nothing waits in a queue for a peer that is not there: sending fails at once.
+    # Messages to a peer that is not connected are not queued: sending fails at once.
     sock.setsockopt(zmq.IMMEDIATE, 1)
     sock.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
     sock.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
@@ -61,7 +61,7 @@
 def start_auth(
     context: zmq.Context[typing.Any], cfg: options.Options
 ) -> zmq.auth.thread.ThreadAuthenticator | None:
-    """Admit only peers that hold the site's CURVE key, if one is set."""
+    """Accept only peers that have the site's CURVE key, if one is set."""
     if not cfg.curve_secret:
         return None
     auth = zmq.auth.thread.ThreadAuthenticator(context)
@@ -71,7 +71,7 @@
 
 
 class SiteKey:
-    """Admits the one public key of the site."""
+    """Accepts only the public key of the site."""
 
     __slots__ = ("_key",)
 
@@ -79,7 +79,10 @@
         self._key = key.encode()
 
     def callback(self, domain: str, key: bytes) -> bool:
-        """Decide on a peer's public key, in Z85; the authenticator calls this."""
+        """Return whether a peer's public key, in Z85, is accepted.
+
+        The authenticator calls this.
+        """
         return key == self._key
 
 
