--- a/gaprock/test/testfollowing.py
+++ b/gaprock/test/testfollowing.py
@@ -1,8 +1,8 @@
-"""Followers under chance: what they say of a table is true, and never goes back.
+"""Property tests of followers: verified rows match the store and never go back.
 
-A store, two gateways' followers of one table and the messages between them are moved
-step by step.  Answers, beats and copies may be lost, come late and overtake each other;
-gateways start anew, and the store forgets its history.
+A state machine steps a store, two gateways' followers of one table and the messages
+between them.  Answers, heartbeats and copies may be lost, delayed or reordered;
+gateways restart, and the store drops its history.
 """
 
 import typing
@@ -21,28 +21,28 @@
 )
 from gaprock.test import rowcase
 
-# The store's clock is this far behind ours, seconds.
+# How far the store's clock is behind ours.
 BEHIND_S: typing.Final = 70.0
 KEYS: typing.Final = ("a", "b")
 Rows = dict[str, int]
 
 
 class ModelStore(gateway_api.SharedStore):
-    """A store that answers at once; what becomes of an answer is the machine's."""
+    """A store that answers at once; the state machine delays or drops the answers."""
 
     __slots__ = ("_clock", "version", "states", "history_start", "times")
 
     def __init__(self, clock_: clock.Clock) -> None:
         self._clock = clock_
         self.version = 0
-        # The table's rows as versions, by the version of the store.
+        # The versions of the table's rows, at each version of the store.
         self.states: list[Rows] = [{}]
-        # When each version began, by the store's clock.
+        # When each version of the store began, by its clock.
         self.times = [self.now()]
         self.history_start = 0
 
     def now(self) -> float:
-        """The store's clock."""
+        """Return the time by the store's clock."""
         return self._clock.now() - BEHIND_S
 
     def change(self, changes: dict[str, bool]) -> None:
@@ -81,7 +81,7 @@
 
 
 class Member:
-    """One gateway's side."""
+    """One gateway."""
 
     def __init__(self, store: ModelStore, clock_: clock.Clock) -> None:
         self.told = rowcase.RecordingSink()
@@ -90,11 +90,11 @@
         )
         self.follower = followers.Follower("t", store, clock_, self.told, self.fresh)
         self.exchange = row_exchange.RowExchange([self.follower], clock_)
-        # Answers of the store, beats and copies that are under way to it.
+        # Answers of the store, heartbeats and copies that are in transit to it.
         self.answers: list[gateway_api.Page] = []
         self.beats: list[mesh_messages.TableNews] = []
         self.copies: list[mesh_messages.Rows] = []
-        # The state of the store that it showed last.
+        # Index of the state of the store that its rows matched last.
         self.shown = 0
 
 
@@ -102,7 +102,7 @@
 
 
 class Following(stateful.RuleBasedStateMachine):
-    """The machine."""
+    """The state machine."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -111,18 +111,18 @@
         self.members = [Member(self.store, self.clock) for _ in range(2)]
 
     def teardown(self) -> None:
-        """A member that asks at the end knows all."""
+        """A member that asks the store at the end has its present state."""
         for member in self.members:
             self._ask(member)
             assert member.told.versions == self.store.states[-1]
 
-    # -- The world --
+    # -- The store, time and restarts --
 
     @stateful.rule(
         changes=st.dictionaries(st.sampled_from(KEYS), st.booleans(), max_size=2)
     )
     def change(self, changes: dict[str, bool]) -> None:
-        """Rows change, or none: another table has a transaction."""
+        """Change rows, or none, as a transaction on another table does."""
         self.store.change(changes)
         self.clock.advance(0.1)
 
@@ -132,12 +132,12 @@
 
     @stateful.rule()
     def forget(self) -> None:
-        """The store forgets its history."""
+        """Have the store drop its history."""
         self.store.history_start = self.store.version
 
     @stateful.rule(which=MEMBERS)
     def start_anew(self, which: int) -> None:
-        """A gateway is another process now, and has read the table."""
+        """Restart a gateway, which then reads the table."""
         self.members[which] = Member(self.store, self.clock)
         self._ask(self.members[which])
 
@@ -159,7 +159,7 @@
 
     @stateful.rule(which=MEMBERS, back=st.integers(0, 3))
     def poll_answers(self, which: int, back: int) -> None:
-        """A poll that began some versions ago is answered; the answer is under way."""
+        """Answer a poll that began some versions ago; the answer is in transit."""
         member = self.members[which]
         if member.follower.version < 0:
             return
@@ -175,7 +175,7 @@
 
     @stateful.rule(which=MEMBERS, back=st.integers(1, 3), is_there=st.booleans())
     def answer_is_overtaken(self, which: int, back: int, is_there: bool) -> None:
-        """A poll's answer comes after that to a later question."""
+        """Deliver a poll's answer after the answer to a later request."""
         self.poll_answers(which, back)
         self.change({KEYS[0]: is_there})
         self.ask(which)
@@ -189,7 +189,7 @@
 
     @stateful.rule(sender=MEMBERS)
     def beats_at_once(self, sender: int) -> None:
-        """Two beats come without delay, and what they bring about."""
+        """Deliver two heartbeats without delay, and the copy that they trigger."""
         for _ in range(2):
             self.beat(sender)
             self.beat_comes(1 - sender, last=True)
@@ -198,7 +198,7 @@
 
     @stateful.rule(which=MEMBERS, last=st.booleans())
     def beat_comes(self, which: int, last: bool) -> None:
-        """A beat comes, and a copy is asked for where that helps."""
+        """Deliver a heartbeat, and request a copy if it would help."""
         member, peer = self.members[which], self.members[1 - which]
         if not member.beats:
             return
@@ -212,24 +212,24 @@
         if member.copies:
             member.exchange.apply_copy(member.copies.pop(0))
 
-    # -- What holds --
+    # -- Invariants --
 
     @stateful.invariant()
-    def a_proof_is_true(self) -> None:
-        """What is proved for a moment shows the store of that moment or a later one."""
+    def verified_rows_are_true(self) -> None:
+        """Rows verified for a moment match the store at that moment or later."""
         for member in self.members:
-            stamp = member.fresh.verified_store_time
-            if not stamp:
+            store_time = member.fresh.verified_store_time
+            if not store_time:
                 continue
-            known = sum(at <= stamp for at in self.store.times) - 1
-            # Changes at the very moment of the proof may be on either side of it.
-            while known > 0 and self.store.times[known] == stamp:
+            known = sum(at <= store_time for at in self.store.times) - 1
+            # Changes at exactly the verified moment may be included or not.
+            while known > 0 and self.store.times[known] == store_time:
                 known -= 1
             assert member.told.versions in self.store.states[known:]
 
     @stateful.invariant()
-    def nothing_goes_back(self) -> None:
-        """Each member shows states of the store in their order."""
+    def rows_never_go_back(self) -> None:
+        """Each member passes through the states of the store in their order."""
         for member in self.members:
             later = self.store.states[member.shown :]
             if not member.told.versions and not member.shown:
@@ -250,13 +250,13 @@
     world.change({"a": True})
     world.ask(0)
     world.ask(1)
-    # The second one's poll is deaf, and the first one starts anew: its newest change is
-    # the same, and its rows are not.
+    # The second member's poll does not report the removal, and the first member
+    # restarts: both know the same newest change, but have different rows.
     world.change({"b": False})
     world.time_passes()
     world.start_anew(0)
     world.beats_at_once(0)
-    world.a_proof_is_true()
+    world.verified_rows_are_true()
 
 
 def test_a_row_that_is_gone_does_not_come_back_with_an_older_copy() -> None:
@@ -265,11 +265,12 @@
     world.change({"b": True})
     world.ask(1)
     world.change({"b": False})
-    # What it has read is newer than the other one's newest change, which it lacks.
+    # The restarted member has read a newer version of the store than member 1 has, but
+    # its newest change is older: the removal is not in what it read.
     late = world.members[1].exchange.copy(0)
     world.start_anew(0)
     world.beats_at_once(1)
     assert set(world.members[0].told.versions) == {"a"}
-    # One that was asked for before comes now.
+    # A copy that was requested before arrives now.
     world.members[0].exchange.apply_copy(late)
     assert set(world.members[0].told.versions) == {"a"}
