--- a/gaprock/test/testfollowing.py
+++ b/gaprock/test/testfollowing.py
@@ -274,3 +274,17 @@
     # A copy that was requested before arrives now.
     world.members[0].exchange.apply_copy(late)
     assert set(world.members[0].told.versions) == {"a"}
+
+
+def test_a_row_that_is_gone_does_not_come_back_with_an_older_answer() -> None:
+    world = Following()
+    world.answer_is_overtaken(0, 1, False)
+    world.change({"a": True})
+    # This answer has the row, and stays in transit.
+    world.poll_answers(0, 0)
+    world.forget()
+    # The row is removed, the member reads the whole table, and then the answer arrives.
+    world.answer_is_overtaken(0, 1, False)
+    world.verified_rows_are_true()
+    world.rows_never_go_back()
+    world.teardown()
