--- a/gaprock/test/testfollowing.py
+++ b/gaprock/test/testfollowing.py
@@ -288,3 +288,21 @@
     world.verified_rows_are_true()
     world.rows_never_go_back()
     world.teardown()
+
+
+def test_rows_are_not_verified_for_a_moment_after_the_answer_that_brought_them() -> (
+    None
+):
+    world = Following()
+    world.start_anew(0)
+    world.change({"a": True})
+    # This answer has the row, and stays in transit while the row is removed.
+    world.poll_answers(0, 0)
+    world.change({"a": False})
+    world.time_passes()
+    # A peer without the row verifies the same newest change for a later moment.
+    world.start_anew(1)
+    world.beat(1)
+    world.beat_comes(0, True)
+    world.poll_is_read(0)
+    world.verified_rows_are_true()
