--- a/bench/limits.py
+++ b/bench/limits.py
@@ -54,7 +54,7 @@
 
     __slots__ = ()
 
-    def _others(self, incarnation: str) -> list[rate_pacing.Claim]:
+    def _others(self, incarnation: str) -> list[rate_pacing.PeerDemand]:
         return []
 
 
@@ -206,7 +206,7 @@
         gateway: Gateway,
         hall: int,
         members: int,
-        summary: list[rate_limits.LimitNews],
+        summary: list[rate_limits.LimitUpdate],
         age_s: float,
     ) -> None:
         if gateway.talks:
--- a/bench/marks.py
+++ b/bench/marks.py
@@ -31,9 +31,9 @@
         f"asked while nothing is known: {best_us(lambda: empty.is_empty, 20000):.3f} us"
     )
     full = quarantine.Quarantine(clock.SteadyClock())
-    for mark in range(quarantine.MAX_MARKS):
+    for mark in range(quarantine.MAX_SUSPECTS):
         full.note(mark, "a", quarantine.OPEN_WEIGHT)
-    number = quarantine.MAX_MARKS
+    number = quarantine.MAX_SUSPECTS
     print(
         f"looked up among {number}: {best_us(lambda: full.held_for_s(7), 20000):.3f} us"
     )
--- a/bench/restores.py
+++ b/bench/restores.py
@@ -137,11 +137,11 @@
         follower._set_standby(rests)
         is_due = self.cut[number] and not rests
         if not follower._is_read or follower._is_outdated and not rests:
-            self._call(follower._read)
+            self._call(follower._read_table)
             self.cut[number] = False
         elif not follower.connected or follower.fresh.is_check_due or is_due:
             self.cut[number] = False
-            self._call(lambda: follower._ask(follower.version))
+            self._call(lambda: follower._request_changes(follower.version))
 
     def _call(self, call: typing.Callable[[], object]) -> None:
         self.epochs.record(self._store.epoch, "store")
--- a/gaprock/agent_endpoint.py
+++ b/gaprock/agent_endpoint.py
@@ -251,7 +251,7 @@
         )
         if not retry_after_s:
             return self._refusal_error(now + REFUSED_RETRY_S)
-        until = now + min(retry_after_s, backoffs.LONGEST_S)
+        until = now + min(retry_after_s, backoffs.MAX_BACKOFF_S)
         if now >= self._backoff_until:
             eventlog.info(
                 "endpoint-backoff", endpoint=self.option.name, for_s=until - now
--- a/gaprock/agent_hub.py
+++ b/gaprock/agent_hub.py
@@ -221,9 +221,9 @@
                 frames = self._sock.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            self._take(frames)
+            self._handle_frames(frames)
 
-    def _take(self, frames: list[bytes]) -> None:
+    def _handle_frames(self, frames: list[bytes]) -> None:
         try:
             if len(frames) != 2:
                 raise errors.GaprockError(errorcodes.UNDECODABLE, "frames")
--- a/gaprock/backoffs.py
+++ b/gaprock/backoffs.py
@@ -24,7 +24,7 @@
 from gaprock import clock, endpoint_state, eventlog, rate_pacing
 
 # Longer backoffs are cut to this.
-LONGEST_S: typing.Final = 3600.0
+MAX_BACKOFF_S: typing.Final = 3600.0
 # The first send is delayed past the end by a random time of up to this share of the
 # backoff, and no more than this many seconds.
 JITTER_SHARE: typing.Final = 0.2
@@ -147,7 +147,7 @@
             known.refused += 1
             known.refused_at = self._clock.now()
             if backoff_s:
-                self._extend(endpoint, known, min(backoff_s, LONGEST_S), sent_at)
+                self._extend(endpoint, known, min(backoff_s, MAX_BACKOFF_S), sent_at)
 
     def _extend(
         self,
--- a/gaprock/config.py
+++ b/gaprock/config.py
@@ -99,7 +99,7 @@
     return KINDS.get(key.split("/", 1)[0] + "/")
 
 
-def document_of_urgent(key: str) -> documents.Document:
+def urgent_document(key: str) -> documents.Document:
     """Build the document that an urgent key stands for."""
     if key.startswith(WITHDRAWN):
         return documents.Withdrawal(key[len(WITHDRAWN) :], "urgent")
--- a/gaprock/departures.py
+++ b/gaprock/departures.py
@@ -33,7 +33,7 @@
 MAX_GOSSIPED: typing.Final = 40
 
 
-class DepartureNews(msgspec.Struct, array_like=True, frozen=True):
+class DepartureUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Whether an endpoint leaves, as reported by a peer.
 
     :param endpoint: its incarnation.
@@ -179,7 +179,7 @@
 
     def news(
         self, is_wanted: typing.Callable[[str], bool] = lambda incarnation: True
-    ) -> list[DepartureNews]:
+    ) -> list[DepartureUpdate]:
         """Return the departures to report to peers, and those that ended lately.
 
         :param is_wanted: whether to report the departure of an incarnation.
@@ -189,7 +189,7 @@
         now = self._clock.now()
         with self._lock:
             news = [
-                DepartureNews(
+                DepartureUpdate(
                     incarnation,
                     known.since < clock.NEVER,
                     now - min(now, known.since),
@@ -203,7 +203,7 @@
         return news[:MAX_GOSSIPED]
 
     def record_news(
-        self, sender: str, news: list[DepartureNews], age_s: float = 0.0
+        self, sender: str, news: list[DepartureUpdate], age_s: float = 0.0
     ) -> None:
         """Apply departures that a peer, or a hall's relay, reports.
 
--- a/gaprock/directory_rows.py
+++ b/gaprock/directory_rows.py
@@ -294,7 +294,7 @@
         since = self.notices.departures.since(endpoint.incarnation)
         endpoint.leave_by_answer(since + LEAVING_SHARE * self._drain_s)
 
-    def departure_news(self) -> list[departures.DepartureNews]:
+    def departure_news(self) -> list[departures.DepartureUpdate]:
         """Return the departures known from answers that rows do not show too."""
 
         def is_wanted(incarnation: str) -> bool:
@@ -304,7 +304,7 @@
         return self.notices.departures.news(is_wanted)
 
     def apply_peer_departures(
-        self, sender: str, news: list[departures.DepartureNews], age_s: float = 0.0
+        self, sender: str, news: list[departures.DepartureUpdate], age_s: float = 0.0
     ) -> None:
         """Apply departures that a peer reports.
 
--- a/gaprock/entry_call.py
+++ b/gaprock/entry_call.py
@@ -190,7 +190,7 @@
         """
         given = headers.get("idempotency-key", "")
         if not template.repeatable:
-            return ids.check_once_id(given, self._clock.now())
+            return ids.check_unrepeatable_id(given, self._clock.now())
         return ids.check_caller_id(given) if given else ids.new_uuid7()
 
     def _call(
--- a/gaprock/entry_http.py
+++ b/gaprock/entry_http.py
@@ -31,7 +31,7 @@
 )
 
 # A caller whose connection accepts no data for this long is disconnected.
-CALLER_SILENT_S: typing.Final = 60
+CALLER_TIMEOUT_S: typing.Final = 60
 MAX_HEADER_BYTES: typing.Final = 64 * 1024
 LISTEN_BACKLOG: typing.Final = 2048
 CALLS_PREFIX: typing.Final = "/v1/calls/"
@@ -221,7 +221,7 @@
             "server.thread_pool": cfg.max_open + cfg.spare_threads,
             "server.thread_pool_max": cfg.max_open + cfg.spare_threads,
             "server.socket_queue_size": LISTEN_BACKLOG,
-            "server.socket_timeout": CALLER_SILENT_S,
+            "server.socket_timeout": CALLER_TIMEOUT_S,
             "server.max_request_body_size": 0,
             "server.max_request_header_size": MAX_HEADER_BYTES,
             "server.shutdown_timeout": 1,
--- a/gaprock/entry_publish.py
+++ b/gaprock/entry_publish.py
@@ -103,7 +103,7 @@
     def write_pending_urgent(self) -> None:
         """Write the urgent changes that are not accepted yet; a periodic task."""
         for key in self._config.urgent:
-            self._write_one(config.document_of_urgent(key))
+            self._write_one(config.urgent_document(key))
 
     def refresh(self) -> bool:
         """Apply new changes from the table and send them to the agents.
--- a/gaprock/followers.py
+++ b/gaprock/followers.py
@@ -39,7 +39,7 @@
 # Interval at which the first start checks whether a peer's copy has arrived.
 COPY_CHECK_INTERVAL_S: typing.Final = 0.05
 # A peer that stays ahead for this long has a change that the store did not report.
-BEHIND_S: typing.Final = 0.4
+MAX_LAG_S: typing.Final = 0.4
 # Removed rows that are remembered, so that a peer can be sent only the changes.
 MAX_TOMBSTONES: typing.Final = 2000
 DIGEST_RANGE: typing.Final = 1 << 64
@@ -148,14 +148,14 @@
 
     # -- Exchange with other gateways --
 
-    def news(self) -> mesh_messages.TableNews:
+    def news(self) -> mesh_messages.TableUpdate:
         """Return the newest change, the digest, and when they were last verified."""
         with self._lock:
-            return mesh_messages.TableNews(
+            return mesh_messages.TableUpdate(
                 self.changed, self._digest, self.fresh.verified_store_time, self.epoch
             )
 
-    def record_verification(self, news: mesh_messages.TableNews) -> None:
+    def record_verification(self, news: mesh_messages.TableUpdate) -> None:
         """Record a peer's verification, if the peer has the same rows as we do."""
         with self._lock:
             if news.digest == self._digest and news.epoch == self.epoch:
@@ -165,7 +165,7 @@
         """Have the store asked shortly, unless the pending poll reports a change."""
         with self._lock:
             if self._is_polling:
-                self.fresh.check_by(self._clock.now() + BEHIND_S)
+                self.fresh.check_by(self._clock.now() + MAX_LAG_S)
 
     def apply_copy(self, page: gateway_api.Page) -> None:
         """Apply a peer's copy of the whole table if it has a newer change.
@@ -270,10 +270,10 @@
         if not self._is_read and self._awaits_copy():
             self._stopped.wait(COPY_CHECK_INTERVAL_S)
         elif not self._is_read or (self._is_outdated and not self.on_standby):
-            self._read()
+            self._read_table()
         elif not self.connected or self.fresh.is_check_due:
             # After a failure, a call that does not wait shows if the store answers.
-            self._ask(self.version)
+            self._request_changes(self.version)
         elif self.on_standby:
             self._stopped.wait(CHECK_INTERVAL_S)
         elif self._poll():
@@ -295,7 +295,7 @@
         if page.epoch < self.epoch:
             raise gateway_api.StoreError("an answer of an earlier epoch")
 
-    def _read(self) -> None:
+    def _read_table(self) -> None:
         """Read the whole table."""
         asked_at = self._clock.now()
         page = self._store.read(self.table)
@@ -321,7 +321,7 @@
                 )
         self._is_read = True
 
-    def _ask(self, since: int) -> bool:
+    def _request_changes(self, since: int) -> bool:
         """Request the changes after a version with a call that does not wait.
 
         :returns: whether there were any.
@@ -352,7 +352,7 @@
                     return False
                 if self._clock.now() > give_up_at:
                     raise gateway_api.StoreError("no answer to the poll")
-                if self.fresh.is_check_due and self._ask(since):
+                if self.fresh.is_check_due and self._request_changes(since):
                     eventlog.warning("store-poll-deaf", table=self.table, since=since)
                     return False
             page = poll.page()
--- a/gaprock/freshness.py
+++ b/gaprock/freshness.py
@@ -99,7 +99,7 @@
     """When one table was last verified; callers hold the lock of its follower.
 
     :param bound_s: returns the time by which a change must take effect.
-    :param leads: returns whether this gateway checks on behalf of the others.
+    :param is_first_reader: returns whether this gateway checks on behalf of the others.
     """
 
     __slots__ = (
@@ -120,12 +120,12 @@
         clock_: clock.Clock,
         store_clock: StoreClock,
         bound_s: typing.Callable[[], float],
-        leads: typing.Callable[[], bool] = lambda: True,
+        is_first_reader: typing.Callable[[], bool] = lambda: True,
     ) -> None:
         self._clock = clock_
         self._store_clock = store_clock
         self._bound_s = bound_s
-        self._leads = leads
+        self._leads = is_first_reader
         self._rng = random.Random()
         self._share = OTHERS_CHECK_SHARES[0]
         self._check_by = clock.NEVER
--- a/gaprock/gateway_choose.py
+++ b/gaprock/gateway_choose.py
@@ -231,7 +231,7 @@
         allowed_regions = (call.route.regions, _own_regions(call))
         return all(not regions or region in regions for regions in allowed_regions)
 
-    def note_end(self, call: gateway_call.Call) -> None:
+    def record_end(self, call: gateway_call.Call) -> None:
         """Record the end of a call; its session is idle from now on."""
         if call.is_in_session:
             self._rollouts.record_session_end(call.service, call.session)
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -63,13 +63,13 @@
         self._retry_schedule = retry_schedule.RetrySchedule()
         self._outages = outages.Outages()
 
-    def note_sent(self, call: gateway_call.Call) -> None:
+    def record_sent(self, call: gateway_call.Call) -> None:
         """Record that an endpoint accepted a call."""
         self._outages.record_recovery(call.service, self._clock.now())
 
-    def note_end(self) -> None:
+    def record_end(self) -> None:
         """Record that a request ended and freed a slot."""
-        self._retry_schedule.note_end(self._clock.now())
+        self._retry_schedule.record_end(self._clock.now())
 
     def find(
         self, call: gateway_call.Call, reply: gateway_call.Reply, model: str
@@ -102,7 +102,9 @@
     def _must_wait(self, call: gateway_call.Call) -> bool:
         """Whether a suspected request must wait for an earlier try or for endpoints."""
         gate = self._gate
-        return gate.must_wait(call) or gate.must_spare(call, self._chooser.living)
+        return gate.must_wait(call) or gate.must_reserve_last(
+            call, self._chooser.living
+        )
 
     def _refuse_unservable(self, call: gateway_call.Call) -> None:
         """Refuse a call at once if no endpoint can run it now.
--- a/gaprock/gateway_quarantine.py
+++ b/gaprock/gateway_quarantine.py
@@ -100,7 +100,7 @@
                 return True
         return False
 
-    def must_spare(
+    def must_reserve_last(
         self,
         call: gateway_call.Call,
         living: typing.Callable[[gateway_call.Call], tuple[int, int]],
--- a/gaprock/gateway_serve.py
+++ b/gaprock/gateway_serve.py
@@ -132,8 +132,8 @@
         finally:
             if call is not None:
                 self._gate.leave(call)
-                self._chooser.note_end(call)
-                self._finder.note_end()
+                self._chooser.record_end(call)
+                self._finder.record_end()
             with self._idle:
                 self._open -= 1
                 self._idle.notify_all()
@@ -271,7 +271,7 @@
                 self.spend_repeat(call, str(exc))
                 continue
             self._metrics.sends.labels(call.service, "answered").inc()
-            self._finder.note_sent(call)
+            self._finder.record_sent(call)
             return attempt
 
     def _refuse_held(self, call: gateway_call.Call) -> None:
--- a/gaprock/ids.py
+++ b/gaprock/ids.py
@@ -46,7 +46,7 @@
     return text
 
 
-def check_once_id(text: str, now: float) -> str:
+def check_unrepeatable_id(text: str, now: float) -> str:
     """Check the id of a call that may not be repeated.
 
     :param now: seconds since the Unix epoch.
--- a/gaprock/mesh_beats.py
+++ b/gaprock/mesh_beats.py
@@ -21,7 +21,7 @@
 class RowSource(typing.Protocol):
     """The followers' side of anti-entropy: rows to copy, and where copies go."""
 
-    def news(self) -> list[mesh_messages.TableNews]:
+    def news(self) -> list[mesh_messages.TableUpdate]:
         """Return what is known of each table."""
 
     def epoch_age_s(self) -> int:
@@ -39,7 +39,7 @@
     def config_number(self) -> int:
         """Return the number of the configuration in force."""
 
-    def lacks_config(self, number: int, orders: mesh_messages.TableNews) -> bool:
+    def lacks_config(self, number: int, orders: mesh_messages.TableUpdate) -> bool:
         """Whether a peer has a newer configuration that a copy of its rows lacks."""
 
     def config_copy(self) -> mesh_messages.ConfigCopy | None:
@@ -54,7 +54,7 @@
     def record_news(
         self,
         table: int,
-        news: mesh_messages.TableNews,
+        news: mesh_messages.TableUpdate,
         is_far: bool,
         epoch_age_s: float,
     ) -> bool:
@@ -227,7 +227,7 @@
             return [table.verified_store_time for table in self._tables()]
         return self.source.own_verified_at()
 
-    def _tables(self) -> list[mesh_messages.TableNews]:
+    def _tables(self) -> list[mesh_messages.TableUpdate]:
         return self.source.news() if self.source else []
 
     def _epoch_age_s(self) -> int:
@@ -239,10 +239,10 @@
     def _has_store(self) -> bool:
         return self.source is not None and self.source.has_store()
 
-    def _rollout_news(self) -> list[mesh_messages.RolloutNews]:
+    def _rollout_news(self) -> list[mesh_messages.RolloutUpdate]:
         now = self._clock.now()
         return [
-            mesh_messages.RolloutNews(
+            mesh_messages.RolloutUpdate(
                 r.order.service,
                 r.revision,
                 now - r.started_at,
--- a/gaprock/mesh_halls.py
+++ b/gaprock/mesh_halls.py
@@ -176,9 +176,9 @@
 
 
 def sum_wanted_rates(
-    own: list[rate_limits.LimitNews],
-    reported: typing.Iterable[list[rate_limits.LimitNews]],
-) -> list[rate_limits.LimitNews]:
+    own: list[rate_limits.LimitUpdate],
+    reported: typing.Iterable[list[rate_limits.LimitUpdate]],
+) -> list[rate_limits.LimitUpdate]:
     """Return the limits that a relay knows, with the rates its whole hall wants."""
     wanted: dict[str, float] = collections.defaultdict(float)
     for news in [own, *reported]:
@@ -190,20 +190,20 @@
 
 
 def sum_rollouts(
-    reported: typing.Iterable[list[mesh_messages.RolloutNews]],
-) -> list[mesh_messages.RolloutNews]:
+    reported: typing.Iterable[list[mesh_messages.RolloutUpdate]],
+) -> list[mesh_messages.RolloutUpdate]:
     """Merge reports on rollouts: the newest order of each, halted if any report is.
 
     Sessions that any of the reports keeps on the old version are kept.
     """
-    total: dict[str, mesh_messages.RolloutNews] = {}
+    total: dict[str, mesh_messages.RolloutUpdate] = {}
     for news in reported:
         for roll in news:
             old = total.get(roll.service)
             if old is None or roll.point > old.point:
                 total[roll.service] = roll
             elif roll.point == old.point:
-                total[roll.service] = mesh_messages.RolloutNews(
+                total[roll.service] = mesh_messages.RolloutUpdate(
                     roll.service,
                     roll.revision,
                     max(old.age_s, roll.age_s),
--- a/gaprock/mesh_messages.py
+++ b/gaprock/mesh_messages.py
@@ -18,7 +18,7 @@
 ORDERS: typing.Final = 0
 
 
-class RolloutNews(msgspec.Struct, array_like=True, frozen=True):
+class RolloutUpdate(msgspec.Struct, array_like=True, frozen=True):
     """A rollout as the sender sees it.
 
     :param age_s: seconds since the order, by the sender's clock.
@@ -42,7 +42,7 @@
         return self.epoch, self.revision
 
 
-class TableNews(msgspec.Struct, array_like=True, frozen=True):
+class TableUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What the sender knows of a table.
 
     :param changed: the version of the newest change.
@@ -91,9 +91,9 @@
     has_store: bool
     loads: dict[str, endpoint_state.Load]
     unreachable_endpoints: list[str]
-    rollouts: list[RolloutNews]
-    limits: list[rate_limits.LimitNews] = []
-    departing: list[departures.DepartureNews] = []
+    rollouts: list[RolloutUpdate]
+    limits: list[rate_limits.LimitUpdate] = []
+    departing: list[departures.DepartureUpdate] = []
 
     @property
     def urgent(self) -> object:
@@ -144,24 +144,24 @@
     hall: str
     address: str
     incarnation: str
-    tables: list[TableNews]
+    tables: list[TableUpdate]
     has_store: bool
     loads: dict[str, endpoint_state.Load]
     prompts: list[tuple[str, list[prefix_cache.PrefixHash]]]
     unreachable_endpoints: list[str]
-    rollouts: list[RolloutNews]
+    rollouts: list[RolloutUpdate]
     evidence: list[messages.Evidence]
     leaving: bool
     halls: list[HallNews] = []
     suspects: list[quarantine.SuspectUpdate] = []
     fleet: int = 0
-    limits: list[rate_limits.LimitNews] = []
-    departing: list[departures.DepartureNews] = []
+    limits: list[rate_limits.LimitUpdate] = []
+    departing: list[departures.DepartureUpdate] = []
     epoch_age_s: int = 0
     config: int = 0
 
 
-def halt_states(news: list[RolloutNews]) -> list[tuple[str, int, bool]]:
+def halt_states(news: list[RolloutUpdate]) -> list[tuple[str, int, bool]]:
     """Return for each rollout whether it is halted."""
     return [(roll.service, roll.revision, roll.halted) for roll in news]
 
--- a/gaprock/options.py
+++ b/gaprock/options.py
@@ -42,7 +42,7 @@
         "session_s",
         "warm_excess",
         "warm_slack",
-        "emptied_s",
+        "cordon_s",
     )
 
     def __init__(self) -> None:
@@ -70,7 +70,7 @@
         self.warm_excess = 1.5
         self.warm_slack = 5.0
         # Time after which a cordoned hall receives no new requests, seconds.
-        self.emptied_s = 5.0
+        self.cordon_s = 5.0
 
 
 class Options:
--- a/gaprock/platform/settings.py
+++ b/gaprock/platform/settings.py
@@ -96,7 +96,7 @@
     bounds.canary_share = doc.CanaryShare
     bounds.warm_excess = doc.ColdExcess
     bounds.warm_slack = doc.ColdSlack
-    bounds.emptied_s = doc.EvacMs / 1000
+    bounds.cordon_s = doc.EvacMs / 1000
     bounds.session_s = doc.SessionS
 
 
--- a/gaprock/platform/store.py
+++ b/gaprock/platform/store.py
@@ -38,7 +38,7 @@
 RETRY_STATUSES: typing.Final = (429, 503)
 # A longer Retry-After is cut to this many seconds, as rows would otherwise become older
 # than every bound that is promised for them.
-LONGEST_RETRY_S: typing.Final = 10.0
+MAX_RETRY_AFTER_S: typing.Final = 10.0
 CALL_ERRORS: typing.Final = (
     urllib3.exceptions.HTTPError,
     http.client.HTTPException,
@@ -125,7 +125,7 @@
         except CALL_ERRORS as exc:
             raise gateway_api.StoreError(type(exc).__name__) from exc
         epoch = self._epochs.read(answer)
-        page = _page(_checked(answer), epoch)
+        page = _page(_decode_answer(answer), epoch)
         self._release(self._conn)
         self._conn = None
         return page
@@ -235,7 +235,7 @@
         self._epochs.read(answer)
         if answer.status == 412:
             return 0
-        return _number(_checked(answer), "Ver")
+        return _number(_decode_answer(answer), "Ver")
 
     def _get(
         self, path: str, query: dict[str, str], wait_s: float
@@ -244,7 +244,7 @@
         target = f"{path}?{urllib.parse.urlencode(query)}"
         answer = self._call("GET", target, wait_s)
         epoch = self._epochs.read(answer)
-        return _checked(answer), epoch
+        return _decode_answer(answer), epoch
 
     def _call(
         self, method: str, target: str, wait_s: float, body: bytes | None = None
@@ -276,7 +276,7 @@
     return "/-/rows-feed", query
 
 
-def _checked(answer: urllib3.BaseHTTPResponse) -> dict[str, typing.Any]:
+def _decode_answer(answer: urllib3.BaseHTTPResponse) -> dict[str, typing.Any]:
     """Return the JSON object of a successful answer.
 
     :raises gateway_api.HistoryGone: when the store no longer has the changes.
@@ -288,7 +288,7 @@
     if answer.status in RETRY_STATUSES:
         # 0 leaves the pause to the caller.
         wait, date = (answer.headers.get(n, "") for n in ("Retry-After", "Date"))
-        retry_after_s = min(LONGEST_RETRY_S, retry_after.seconds(wait, date) or 0.0)
+        retry_after_s = min(MAX_RETRY_AFTER_S, retry_after.seconds(wait, date) or 0.0)
         raise gateway_api.StoreError(f"status {answer.status}", retry_after_s)
     if answer.status != 200:
         raise gateway_api.StoreError(f"status {answer.status}")
--- a/gaprock/policy_admission.py
+++ b/gaprock/policy_admission.py
@@ -14,7 +14,7 @@
 
 import typing
 
-from gaprock import plugin, policy_api, policy_limit, policy_turns
+from gaprock import plugin, policy_api, policy_fair_queue, policy_limit
 
 # Weight of one run in the moving average of run times.
 SMOOTHING: typing.Final = 0.1
@@ -42,10 +42,10 @@
         self._max_queued = max_queued
         self._limit = policy_limit.Limit(max_running)
         self._running = 0
-        self._queue = policy_turns.FairQueue()
+        self._queue = policy_fair_queue.FairQueue()
         self._evicted: list[policy_api.Ticket] = []
         self._service_s = 0.0
-        self._retry_times = policy_turns.RetryTimes()
+        self._retry_times = policy_fair_queue.RetryTimes()
 
     def offer(self, ticket: policy_api.Ticket, now: float) -> policy_api.Verdict:
         if ticket.deadline <= now:
--- a/gaprock/policy_models.py
+++ b/gaprock/policy_models.py
@@ -13,7 +13,7 @@
 
 # Answers with a lower confidence, on a scale of 0 to 100, are doubtful. A model that is
 # as likely to be wrong as right reports this value.
-DOUBTFUL: typing.Final = 50.0
+MIN_CONFIDENCE: typing.Final = 50.0
 # Prior for the gain in confidence of a middle model over a smaller one, and the number
 # of comparisons that the prior counts as.
 PRIOR_GAIN: typing.Final = 15.0
@@ -65,7 +65,7 @@
         self, query: policy_api.ModelQuery, model: str, confidence: float | None
     ) -> str | None:
         names = [m.name for m in query.models]
-        if confidence is None or confidence >= DOUBTFUL or model not in names:
+        if confidence is None or confidence >= MIN_CONFIDENCE or model not in names:
             return None
         if (
             model == names[-1]
@@ -80,7 +80,7 @@
         )
         if not mechanisms.STRAIN.on:
             reduction = 0.0
-        if confidence >= DOUBTFUL * (1.0 - min(1.0, max(0.0, reduction))):
+        if confidence >= MIN_CONFIDENCE * (1.0 - min(1.0, max(0.0, reduction))):
             return None
         return larger
 
@@ -102,7 +102,7 @@
             return names[-1]
         for larger in names[names.index(model) + 1 : -1]:
             total, count = self._gain(model, larger)
-            if confidence + total / count >= DOUBTFUL:
+            if confidence + total / count >= MIN_CONFIDENCE:
                 likely.append(larger)
         first_s = dict(zip(names, query.first_s))
         return min(likely, key=lambda name: (first_s[name], names.index(name)))
--- a/gaprock/quarantine.py
+++ b/gaprock/quarantine.py
@@ -59,7 +59,7 @@
 CLEARED_S: typing.Final = 10.0
 # Maximum number of requests on record.  The least recently changed ones are evicted
 # first, held ones last.  One takes about 0.4 KB.
-MAX_MARKS: typing.Final = 2000
+MAX_SUSPECTS: typing.Final = 2000
 # Maximum number of incarnations recorded against one request; more change nothing.
 MAX_INCARNATIONS: typing.Final = 8
 # Replaces the incarnations of a request whose hold has expired.
@@ -363,7 +363,7 @@
 
     def _evict(self) -> None:
         """Evict a record if there are more than the maximum."""
-        if len(self._suspects) <= MAX_MARKS:
+        if len(self._suspects) <= MAX_SUSPECTS:
             return
         free = (s for s in self._suspects.values() if s.fingerprint not in self._held)
         self._drop(next(free, next(iter(self._suspects.values()))))
--- a/gaprock/rate_limits.py
+++ b/gaprock/rate_limits.py
@@ -29,7 +29,7 @@
 ENDED: typing.Final = -1.0
 
 
-class LimitNews(msgspec.Struct, array_like=True, frozen=True):
+class LimitUpdate(msgspec.Struct, array_like=True, frozen=True):
     """An endpoint's limit and the sender's demand there, as reported by a peer.
 
     :param endpoint: its incarnation.
@@ -121,7 +121,7 @@
 
     # -- Gossip --
 
-    def news(self, wanted: dict[str, float]) -> list[LimitNews]:
+    def news(self, wanted: dict[str, float]) -> list[LimitUpdate]:
         """Return the limits to report to peers, and those that ended lately.
 
         :param wanted: demand of this gateway in requests per second, by incarnation.
@@ -131,7 +131,7 @@
         now = self._clock.now()
         with self._lock:
             news = [
-                LimitNews(
+                LimitUpdate(
                     incarnation,
                     ENDED if known.per_s is None else known.per_s,
                     now - known.as_of,
@@ -143,7 +143,7 @@
         return news[:MAX_GOSSIPED]
 
     def record_news(
-        self, sender: str, news: list[LimitNews], age_s: float = 0.0
+        self, sender: str, news: list[LimitUpdate], age_s: float = 0.0
     ) -> None:
         """Apply limits that a peer, or a hall's relay, reports.
 
--- a/gaprock/rate_pacing.py
+++ b/gaprock/rate_pacing.py
@@ -69,7 +69,7 @@
 ANY_TIME: typing.Final = Turn(-clock.NEVER, clock.NEVER)
 
 
-class Claim(typing.NamedTuple):
+class PeerDemand(typing.NamedTuple):
     """Reported demand of a gateway, or of a hall, for an endpoint.
 
     :param members: number of gateways that it covers.
@@ -81,7 +81,10 @@
 
 
 def share(
-    per_s: float, gateways: int, wanted_per_s: float, others: typing.Iterable[Claim]
+    per_s: float,
+    gateways: int,
+    wanted_per_s: float,
+    others: typing.Iterable[PeerDemand],
 ) -> float:
     """Return the requests per second that one gateway may send.
 
@@ -220,7 +223,7 @@
         self._lock = threading.Lock()
         self._paces: dict[str, Pace] = {}
         # Demands of peers and halls by name: when reported, and by incarnation.
-        self._claims: dict[str, tuple[float, dict[str, Claim]]] = {}
+        self._claims: dict[str, tuple[float, dict[str, PeerDemand]]] = {}
 
     # -- Sends --
 
@@ -272,7 +275,7 @@
             return pace
         per_s = max(USED_SHARE * per_s, PROBE_PER_S)
         gateways = self._gateways()
-        others: list[Claim] = []
+        others: list[PeerDemand] = []
         if gateways and pace.may_borrow(per_s / gateways, now):
             others = self._others(incarnation)
         pace.set_share(share(per_s, gateways, pace.wanted_per_s(now), others), now)
@@ -282,7 +285,7 @@
 
     # -- Gossip --
 
-    def _others(self, incarnation: str) -> list[Claim]:
+    def _others(self, incarnation: str) -> list[PeerDemand]:
         """Return the demands reported lately; a silent gateway lends nothing."""
         since = self._clock.now() - DEMAND_VALID_S
         return [
@@ -291,7 +294,7 @@
             if told_at >= since and incarnation in claims
         ]
 
-    def news(self) -> list[rate_limits.LimitNews]:
+    def news(self) -> list[rate_limits.LimitUpdate]:
         """Return the known limits and this gateway's demand, to report to peers."""
         now = self._clock.now()
         with self._lock:
@@ -305,7 +308,7 @@
         self,
         sender: str,
         members: int,
-        news: list[rate_limits.LimitNews],
+        news: list[rate_limits.LimitUpdate],
         age_s: float = 0.0,
     ) -> None:
         """Apply limits and demand that a peer or a hall reports.
@@ -315,7 +318,7 @@
         """
         if news:
             self.limits.record_news(sender, news, age_s)
-        claims = {one.endpoint: Claim(members, one.wanted_per_s) for one in news}
+        claims = {one.endpoint: PeerDemand(members, one.wanted_per_s) for one in news}
         with self._lock:
             self._claims[sender] = (self._clock.now(), claims)
             if not claims:
--- a/gaprock/report.py
+++ b/gaprock/report.py
@@ -216,7 +216,7 @@
         return Outcome.LATE, "a pause between events"
     model_lines = [line for line in lines if line.event == "model"][-1:]
     if model_lines and model_lines[0].fields.get("confidence", NONE) != NONE:
-        if model_lines[0].number("confidence") < policy_models.DOUBTFUL:
+        if model_lines[0].number("confidence") < policy_models.MIN_CONFIDENCE:
             return Outcome.DOUBTFUL, _why_doubtful(model_lines[0])
     return Outcome.IN_TIME, ""
 
--- a/gaprock/retry_schedule.py
+++ b/gaprock/retry_schedule.py
@@ -38,7 +38,7 @@
         # The latest retry time that was assigned.
         self._last_retry_at = 0.0
 
-    def note_end(self, now: float) -> None:
+    def record_end(self, now: float) -> None:
         """Record that a request ended and freed a slot."""
         with self._lock:
             self._ends.append(now)
--- a/gaprock/rollout_latency.py
+++ b/gaprock/rollout_latency.py
@@ -13,7 +13,7 @@
 FAST_QUANTILE: typing.Final = 0.25
 MAX_SAMPLES: typing.Final = 64
 # Answers of the stable version that are needed before slowness is judged.
-MIN_TIMES: typing.Final = 8
+MIN_SAMPLES: typing.Final = 8
 # An answer that takes longer by less than this is never slow.
 SLOW_FLOOR_S: typing.Final = 0.15
 
@@ -37,7 +37,7 @@
     def typical(self) -> float | None:
         """The time of the faster answers; ``None`` until there are enough samples."""
         times = sorted(self._samples)
-        if len(times) < MIN_TIMES:
+        if len(times) < MIN_SAMPLES:
             return None
         return times[int(FAST_QUANTILE * len(times))]
 
--- a/gaprock/rollouts.py
+++ b/gaprock/rollouts.py
@@ -241,7 +241,7 @@
             )
 
     def merge_reported(
-        self, news: mesh_messages.RolloutNews, now: float, by: str
+        self, news: mesh_messages.RolloutUpdate, now: float, by: str
     ) -> None:
         """Merge what a peer reports on a rollout.
 
--- a/gaprock/row_exchange.py
+++ b/gaprock/row_exchange.py
@@ -60,9 +60,9 @@
         # table.
         self._peer_ahead: dict[int, tuple[tuple[int, int], float]] = {}
         # What a peer last reported of each table.
-        self._peer_news: dict[int, mesh_messages.TableNews] = {}
+        self._peer_news: dict[int, mesh_messages.TableUpdate] = {}
 
-    def news(self) -> list[mesh_messages.TableNews]:
+    def news(self) -> list[mesh_messages.TableUpdate]:
         """Return the newest change of each table, and when it was last verified."""
         return [follower.news() for follower in self._followers]
 
@@ -85,7 +85,7 @@
     def record_news(
         self,
         table: int,
-        news: mesh_messages.TableNews,
+        news: mesh_messages.TableUpdate,
         is_far: bool = False,
         epoch_age_s: float = 0.0,
     ) -> bool:
@@ -124,7 +124,7 @@
             return False
         if follower.on_standby and not is_far:
             return True
-        return not follower.connected or now >= since + followers.BEHIND_S
+        return not follower.connected or now >= since + followers.MAX_LAG_S
 
     # -- The configuration --
 
@@ -132,7 +132,7 @@
         """Return the number of the configuration in effect here."""
         return self._config.config_number if self._config is not None else 0
 
-    def lacks_config(self, number: int, orders: mesh_messages.TableNews) -> bool:
+    def lacks_config(self, number: int, orders: mesh_messages.TableUpdate) -> bool:
         """Whether a peer has a newer configuration that copying its rows cannot bring.
 
         :param orders: what the peer reports of the table of orders.
--- a/gaprock/test/fakes/metastore.py
+++ b/gaprock/test/fakes/metastore.py
@@ -42,7 +42,7 @@
         # The tables of the long polls that are open now.
         self.waiting: list[str] = []
         # The tables of the calls that are never answered.
-        self.unanswered_polls: list[str] = []
+        self.unanswered_calls: list[str] = []
         self._stopping = threading.Event()
         # The store's steady clock.
         self.now_ms: typing.Callable[[], int] = lambda: 51_230
@@ -122,7 +122,7 @@
         self.calls.append(call)
         time.sleep(self.faults.get("delay", 0.0))
         if self.faults.get("swallow"):
-            self.unanswered_polls.append(query.get("Table", ""))
+            self.unanswered_calls.append(query.get("Table", ""))
             self._stopping.wait()
             return httpfake.Reply(0, drop=True)
         if self.faults.get("odd"):
--- a/gaprock/test/testbackoffs.py
+++ b/gaprock/test/testbackoffs.py
@@ -137,7 +137,7 @@
 def test_a_backoff_of_days_is_cut() -> None:
     book = Book()
     book.refuse(1e9)
-    book.pass_end(backoffs.LONGEST_S)
+    book.pass_end(backoffs.MAX_BACKOFF_S)
     assert book.send()
 
 
--- a/gaprock/test/testemptied.py
+++ b/gaprock/test/testemptied.py
@@ -281,4 +281,4 @@
     settings.load(str(path), cfg)
     assert cfg.regions == {"h1": "north", "h2": "south"}
     assert (cfg.bounds.warm_excess, cfg.bounds.warm_slack) == (2.0, 7)
-    assert cfg.bounds.emptied_s == 4.0
+    assert cfg.bounds.cordon_s == 4.0
--- a/gaprock/test/testepochs.py
+++ b/gaprock/test/testepochs.py
@@ -116,7 +116,7 @@
         self.exchange = row_exchange.RowExchange([self.follower], clock_, self.epochs)
         # Answers of the store, heartbeats and copies that are in transit to it.
         self.answers: list[gateway_api.Page] = []
-        self.beats: list[mesh_messages.TableNews] = []
+        self.beats: list[mesh_messages.TableUpdate] = []
         self.copies: list[mesh_messages.Rows] = []
         # Index of the state of the store that its rows matched last.
         self.shown = 0
@@ -126,12 +126,12 @@
         follower = self.follower
         self.epochs.record(self.store.epoch, "store")
         if follower.version < 0 or follower._is_outdated:
-            follower._read()
+            follower._read_table()
             return
         try:
-            follower._ask(follower.version)
+            follower._request_changes(follower.version)
         except gateway_api.HistoryGone:
-            follower._read()
+            follower._read_table()
 
     def take_answer(self, page: gateway_api.Page) -> None:
         """Apply the answer to a poll, which may belong to an earlier epoch."""
@@ -228,7 +228,7 @@
         for _ in range(2):
             self.beat(peer, which)
             self.beat_comes(which, peer, last=True)
-            self.clock.advance(followers.BEHIND_S)
+            self.clock.advance(followers.MAX_LAG_S)
         self.copy_comes(which)
 
     @stateful.rule(which=MEMBERS)
@@ -288,7 +288,7 @@
     verified_at = one.fresh.verified_at
     one.time.advance(1.0)
     news = one.follower.news()
-    other = mesh_messages.TableNews(
+    other = mesh_messages.TableUpdate(
         news.changed, news.digest, one.store.now(), news.epoch + 1
     )
     one.follower.record_verification(other)
@@ -335,7 +335,7 @@
         store.withholds_restores = True
         store.restore(3)
         store.put(rowcase.TABLE, "b", 1)
-        exchange.record_news(0, mesh_messages.TableNews(4, 0, 0.0, store.epoch))
+        exchange.record_news(0, mesh_messages.TableUpdate(4, 0, 0.0, store.epoch))
         gatewaysite.wait_until(lambda: "b" in one.kept.keys, "it is read again")
 
 
--- a/gaprock/test/testfleet.py
+++ b/gaprock/test/testfleet.py
@@ -33,8 +33,8 @@
     return gateway_api.Page([gateway_api.Row(*row) for row in rows], version, 0.0)
 
 
-def news(changed: int) -> mesh_messages.TableNews:
-    return mesh_messages.TableNews(changed, 0, 0.0)
+def news(changed: int) -> mesh_messages.TableUpdate:
+    return mesh_messages.TableUpdate(changed, 0, 0.0)
 
 
 def follower(
@@ -56,12 +56,12 @@
 ) -> None:
     one, scripted, kept = follower(time)
     scripted.pages = [page(5, ("a", b"1", 5), ("b", b"1", 5))]
-    one._read()
+    one._read_table()
     one.apply_copy(page(9, ("a", b"2", 9)))
     assert kept.values == {"a": b"2"}
     # The poll that was under way returns older changes, and the removal of a row.
     scripted.pages = [page(8, ("a", b"old", 7), ("b", None, 8), ("c", b"1", 8))]
-    one._ask(one.version)
+    one._request_changes(one.version)
     assert kept.values == {"a": b"2"}
     one.apply_copy(page(8, ("a", b"old", 7)))
     assert kept.values == {"a": b"2"}
@@ -70,8 +70,8 @@
 def test_rows_of_one_transaction_are_all_applied(time: clock.ManualClock) -> None:
     one, scripted, kept = follower(time)
     scripted.pages = [page(5), page(6, ("a", b"1", 6), ("b", b"1", 6))]
-    one._read()
-    one._ask(one.version)
+    one._read_table()
+    one._request_changes(one.version)
     assert kept.values == {"a": b"1", "b": b"1"}
 
 
@@ -80,11 +80,11 @@
 ) -> None:
     one, scripted, _ = follower(time)
     scripted.pages = [page(5, ("a", b"1", 5))]
-    one._read()
+    one._read_table()
     one.disconnected_at = clock.NEVER
     exchange = row_exchange.RowExchange([one], time)
     assert not exchange.record_news(0, news(6))
-    time.advance(followers.BEHIND_S + 0.1)
+    time.advance(followers.MAX_LAG_S + 0.1)
     # Another peer that is as far behind as we are does not end the wait.
     assert not exchange.record_news(0, news(5))
     assert exchange.record_news(0, news(6))
--- a/gaprock/test/testfollowing.py
+++ b/gaprock/test/testfollowing.py
@@ -92,7 +92,7 @@
         self.exchange = row_exchange.RowExchange([self.follower], clock_)
         # Answers of the store, heartbeats and copies that are in transit to it.
         self.answers: list[gateway_api.Page] = []
-        self.beats: list[mesh_messages.TableNews] = []
+        self.beats: list[mesh_messages.TableUpdate] = []
         self.copies: list[mesh_messages.Rows] = []
         # Index of the state of the store that its rows matched last.
         self.shown = 0
@@ -150,12 +150,12 @@
     def _ask(self, member: Member) -> None:
         follower = member.follower
         if follower.version < 0:
-            follower._read()
+            follower._read_table()
             return
         try:
-            follower._ask(follower.version)
+            follower._request_changes(follower.version)
         except gateway_api.HistoryGone:
-            follower._read()
+            follower._read_table()
 
     @stateful.rule(which=MEMBERS, back=st.integers(0, 3))
     def poll_answers(self, which: int, back: int) -> None:
@@ -193,7 +193,7 @@
         for _ in range(2):
             self.beat(sender)
             self.beat_comes(1 - sender, last=True)
-            self.clock.advance(followers.BEHIND_S)
+            self.clock.advance(followers.MAX_LAG_S)
         self.copy_comes(1 - sender)
 
     @stateful.rule(which=MEMBERS, last=st.booleans())
--- a/gaprock/test/testfreshness.py
+++ b/gaprock/test/testfreshness.py
@@ -31,7 +31,7 @@
     change()
     gatewaysite.wait_until(is_taken, "the poll is answered")
     gatewaysite.wait_until(
-        lambda: table in store.unanswered_polls, "the next poll is lost"
+        lambda: table in store.unanswered_calls, "the next poll is lost"
     )
     del store.faults["swallow"]
 
@@ -83,19 +83,22 @@
 class FreshnessCase:
     """Freshness of one table with a manual clock; the store's clock is 50 s behind.
 
-    :param leads: whether the gateway checks on behalf of the others.
+    :param is_first_reader: whether the gateway checks on behalf of the others.
     """
 
-    def __init__(self, leads: bool) -> None:
+    def __init__(self, is_first_reader: bool) -> None:
         self.time = clock.ManualClock(150.0)
         self.fresh = freshness.Freshness(
-            self.time, freshness.StoreClock(), lambda: rowcase.BOUND_S, lambda: leads
+            self.time,
+            freshness.StoreClock(),
+            lambda: rowcase.BOUND_S,
+            lambda: is_first_reader,
         )
         self.fresh.record_answer(100.0, asked_at=self.time.now())
 
 
 def test_the_first_gateway_asks_well_before_a_change_has_to_be_in_force() -> None:
-    case = FreshnessCase(leads=True)
+    case = FreshnessCase(is_first_reader=True)
     assert not case.fresh.is_check_due
     case.time.advance(freshness.LEADER_CHECK_SHARE * rowcase.BOUND_S)
     assert case.fresh.is_check_due
@@ -103,7 +106,7 @@
 
 
 def test_the_others_ask_before_stale_when_no_verification_reaches_them() -> None:
-    case = FreshnessCase(leads=False)
+    case = FreshnessCase(is_first_reader=False)
     for _ in range(20):
         case.time.advance(freshness.LEADER_CHECK_SHARE * rowcase.BOUND_S)
         assert not case.fresh.is_check_due
@@ -117,7 +120,7 @@
 
 
 def test_a_verification_keeps_its_age_however_long_it_is_in_transit() -> None:
-    case = FreshnessCase(leads=False)
+    case = FreshnessCase(is_first_reader=False)
     case.time.advance(rowcase.BOUND_S)
     case.fresh.record_verification(100.5)
     assert case.fresh.verified_at == 150.5
@@ -141,11 +144,11 @@
     one.apply_copy(gateway_api.Page([row], 7, 0.0))
     for other in ({}, {"a": row._replace(version=6)}, {"a": row, "b": row}):
         one.record_verification(
-            mesh_messages.TableNews(7, followers.digest(other), 100.0)
+            mesh_messages.TableUpdate(7, followers.digest(other), 100.0)
         )
     assert fresh.verified_at == 0.0
     one.record_verification(
-        mesh_messages.TableNews(7, followers.digest({"a": row}), 100.0)
+        mesh_messages.TableUpdate(7, followers.digest({"a": row}), 100.0)
     )
     assert fresh.verified_at == 150.0
 
--- a/gaprock/test/testgone.py
+++ b/gaprock/test/testgone.py
@@ -190,8 +190,11 @@
     call = callcase.call(1)
     for number in range(ends):
         book.note(call.mark, f"life-{number}", quarantine.BEGUN_WEIGHT)
-    assert gate.must_spare(call, lambda one: (left, count)) is is_spared
-    assert not gate.must_spare(callcase.call(1, "other"), lambda one: (1, 3)) or ends
+    assert gate.must_reserve_last(call, lambda one: (left, count)) is is_spared
+    assert (
+        not gate.must_reserve_last(callcase.call(1, "other"), lambda one: (1, 3))
+        or ends
+    )
 
 
 # -- Retry time --
--- a/gaprock/test/testhalls.py
+++ b/gaprock/test/testhalls.py
@@ -296,7 +296,7 @@
 def news(
     age_s: float, running: int, hall: str = "h2", halted: bool = False
 ) -> mesh_messages.HallNews:
-    roll = mesh_messages.RolloutNews("llm", 1, 5.0, halted, running)
+    roll = mesh_messages.RolloutUpdate("llm", 1, 5.0, halted, running)
     load = endpoint_state.Load(running, 0)
     return mesh_messages.HallNews(
         hall, age_s, [], running, True, {"e1": load}, [], [roll]
--- a/gaprock/test/testlimits.py
+++ b/gaprock/test/testlimits.py
@@ -161,7 +161,7 @@
 ) -> None:
     """Gateways know each other's demand; silent ones keep an equal share."""
     gateways = len(wanted) + silent
-    claims = [rate_pacing.Claim(1, each) for each in wanted]
+    claims = [rate_pacing.PeerDemand(1, each) for each in wanted]
     shares = [
         rate_pacing.share(per_s, gateways, each, claims[:n] + claims[n + 1 :])
         for n, each in enumerate(wanted)
--- a/gaprock/test/testquarantine.py
+++ b/gaprock/test/testquarantine.py
@@ -109,11 +109,11 @@
 ) -> None:
     assert book.is_empty and book.news(OWN, include_held=True) == []
     end_three(book)
-    for fingerprint in range(1000, 1000 + quarantine.MAX_MARKS + 50):
+    for fingerprint in range(1000, 1000 + quarantine.MAX_SUSPECTS + 50):
         book.note(fingerprint, "a", OPEN)
     # A held request outlives newer ones that are not held.
     assert book.held_for_s(FINGERPRINT) and not book.is_suspected(1000)
-    assert len(book._suspects) <= quarantine.MAX_MARKS
+    assert len(book._suspects) <= quarantine.MAX_SUSPECTS
     assert len(book.news(OWN, include_held=True)) == quarantine.MAX_UPDATES
     time.advance(quarantine.SUSPECT_RETENTION_S + 1.0)
     book.forget_old()
--- a/gaprock/test/testrefusals.py
+++ b/gaprock/test/testrefusals.py
@@ -130,7 +130,7 @@
         config_.apply(testconfig.delta_of(1, 0, *allowed))
 
     def receive(self, msg: messages.Message) -> None:
-        self.hub._take([b"entry", messages.encode(msg)])
+        self.hub._handle_frames([b"entry", messages.encode(msg)])
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=60)
--- a/gaprock/test/testrestoredrollouts.py
+++ b/gaprock/test/testrestoredrollouts.py
@@ -98,7 +98,7 @@
     for here, there in ((one, other), (other, one)):
         here.rollout.halted, there.rollout.halted = False, True
         roll = there.rollout
-        news = mesh_messages.RolloutNews(
+        news = mesh_messages.RolloutUpdate(
             SERVICE, roll.revision, 1.0, True, 0, epoch=roll.epoch
         )
         here.book.merge_reported(news, one.time.now(), "there")
--- a/gaprock/test/testreturns.py
+++ b/gaprock/test/testreturns.py
@@ -16,7 +16,7 @@
 def test_retries_are_spaced_at_the_rate_of_ended_requests() -> None:
     schedule = retry_schedule.RetrySchedule()
     for number in range(20):
-        schedule.note_end(100.0 + 0.2 * number)
+        schedule.record_end(100.0 + 0.2 * number)
     waits = [schedule.next_s(104.0, CALLER_S) for _ in range(10)]
     assert waits[0] == pytest.approx(retry_schedule.MIN_RETRY_S)
     steps = {round(b - a, 6) for a, b in zip(waits, waits[1:])}
@@ -38,7 +38,7 @@
     for passed_s, ends, caller_s in steps:
         now += passed_s
         if ends:
-            schedule.note_end(now)
+            schedule.record_end(now)
             continue
         wait_s = schedule.next_s(now, caller_s)
         longest_s = retry_schedule.CALLER_SHARE * caller_s
@@ -80,9 +80,9 @@
     """Share of callers served: 0.23 with random retry times, 0.64 with the schedule."""
     schedule = retry_schedule.RetrySchedule()
     for number in range(20):
-        schedule.note_end(-4.0 + 0.2 * number)
+        schedule.record_end(-4.0 + 0.2 * number)
     rng = random.Random(3)
     before = play(lambda now: rng.uniform(0.15, 0.6), lambda now: None)
-    after = play(lambda now: schedule.next_s(now, CALLER_S), schedule.note_end)
+    after = play(lambda now: schedule.next_s(now, CALLER_S), schedule.record_end)
     assert before < 0.25
     assert after > 0.64
--- a/gaprock/test/testrollouts.py
+++ b/gaprock/test/testrollouts.py
@@ -239,7 +239,7 @@
     case = rolloutcase.WriterCase(time)
     case.store.answers = [8]
     rollout = case.book.add_order(rolloutcase.order(), 7, time.now())
-    news = mesh_messages.RolloutNews("llm", 7, 4.0, True, 0)
+    news = mesh_messages.RolloutUpdate("llm", 7, 4.0, True, 0)
     beat = mesh_messages.Beat(
         "other", "h2", "tcp://x", "i", [], True, {}, [], [], [news], [], False
     )
--- a/gaprock/test/testscale.py
+++ b/gaprock/test/testscale.py
@@ -202,9 +202,9 @@
         page = gateway_api.Page([gateway_api.Row(*r) for r in rows], version, 0.0)
         self.scripted.pages.append(page)
         if self.reader.version < 0:
-            self.reader._read()
+            self.reader._read_table()
         else:
-            self.reader._ask(self.reader.version)
+            self.reader._request_changes(self.reader.version)
 
     def send_copy(self) -> mesh_messages.Rows:
         """Send the gateway on standby the rows that it lacks, and return them."""
@@ -296,7 +296,7 @@
 
     late.mesh.source = EmptyRowSource()  # type: ignore[assignment]
     late.mesh._send = record  # type: ignore[method-assign]
-    news = [mesh_messages.TableNews(5, 1, 0.0)]
+    news = [mesh_messages.TableUpdate(5, 1, 0.0)]
     for member in fleet.members[1:]:
         member.table.news = lambda: news  # type: ignore[method-assign]
     fleet.run(2.0)
--- a/gaprock/test/teststoreretry.py
+++ b/gaprock/test/teststoreretry.py
@@ -47,10 +47,10 @@
 @pytest.mark.parametrize(
     "text, seconds",
     [("0.5", 0.5), ("", 0.0), ("soon", 0.0), ("nan", 0.0), ("-3", 0.0)]
-    + [("3600", store.LONGEST_RETRY_S), ("1e400", 0.0)],
+    + [("3600", store.MAX_RETRY_AFTER_S), ("1e400", 0.0)],
 )
 def test_any_time_to_come_back_is_read_and_bounded(text: str, seconds: float) -> None:
     answer = urllib3.HTTPResponse(b"", headers={"Retry-After": text}, status=429)
     with pytest.raises(gateway_api.StoreError) as caught:
-        store._checked(answer)
+        store._decode_answer(answer)
     assert caught.value.retry_after_s == seconds
--- a/gaprock/test/testunstopped.py
+++ b/gaprock/test/testunstopped.py
@@ -42,7 +42,7 @@
         backend.answer(*args)
 
     old.default_script = answer_late
-    for _ in range(2 * rollout_latency.MIN_TIMES):
+    for _ in range(2 * rollout_latency.MIN_SAMPLES):
         assert site.call("/unsafe/x").status == 200
     fake = site.add("new", "app", Version="v2")
     document = {"Service": "app", "ToVersion": "v2", "FinishByS": 600}
--- a/misc/proofs_gateway_requests.py
+++ b/misc/proofs_gateway_requests.py
@@ -75,7 +75,7 @@
         "the smallest model that is likely sure is asked",
         "testrouting.py::test_the_smallest_model_that_is_likely_confident_is_asked",
         "policy_models.py",
-        "            if confidence + total / count >= DOUBTFUL:\n",
+        "            if confidence + total / count >= MIN_CONFIDENCE:\n",
         "            if False:\n",
     ),
     proofs.gateway(
--- a/misc/proofs_gateway_store.py
+++ b/misc/proofs_gateway_store.py
@@ -24,7 +24,7 @@
         "testfleet.py::test_a_peer_that_stays_ahead_is_asked_though_the_store_says"
         "_nothing",
         "row_exchange.py",
-        "return not follower.connected or now >= since + followers.BEHIND_S",
+        "return not follower.connected or now >= since + followers.MAX_LAG_S",
         "return not follower.connected",
     ),
     proofs.gateway(
@@ -40,7 +40,7 @@
         "testfreshness.py::test_a_configuration_is_in_force_after_an_outage_swallowed"
         "_the_poll",
         "followers.py",
-        "if self.fresh.is_check_due and self._ask(since):",
+        "if self.fresh.is_check_due and self._request_changes(since):",
         "if False:",
     ),
     proofs.gateway(
