--- a/bench/marks.py
+++ b/bench/marks.py
@@ -32,7 +32,7 @@
     )
     full = quarantine.Quarantine(clock.SteadyClock())
     for mark in range(quarantine.MAX_SUSPECTS):
-        full.note(mark, "a", quarantine.OPEN_WEIGHT)
+        full.record_crash(mark, "a", quarantine.OPEN_WEIGHT)
     number = quarantine.MAX_SUSPECTS
     print(
         f"looked up among {number}: {best_us(lambda: full.held_for_s(7), 20000):.3f} us"
--- a/bench/placing_player.py
+++ b/bench/placing_player.py
@@ -274,7 +274,7 @@
         larger = gateway.models.larger(job.call, self.attempt)
         if larger:
             self.attempt.finish(gateway.directory)
-            gateway.budget.take(SERVICE, self._player.time.now())
+            gateway.budget.spend(SERVICE, self._player.time.now())
             job.send(larger)
             return
         job.call.record_write(self._player.time.now())
--- a/gaprock/agent_gate.py
+++ b/gaprock/agent_gate.py
@@ -159,7 +159,7 @@
         self._active = 0
         self._idle = threading.Condition()
 
-    def take(self, run: agent_run.Run) -> None:
+    def submit(self, run: agent_run.Run) -> None:
         """Check a request, then start or queue it, or post its refusal at once."""
         try:
             slot = self._check(run.start)
@@ -221,7 +221,7 @@
             )
         if start.deadline <= now:
             raise errors.GaprockError(errorcodes.DEADLINE_PAST)
-        held_s = self._quarantine.held_for_s(start.mark)
+        held_s = self._quarantine.held_for_s(start.fingerprint)
         if held_s:
             raise errors.GaprockError(errorcodes.HELD, start.endpoint, now + held_s)
         if not self._config.ready or start.revision > self._config.revision:
@@ -331,7 +331,7 @@
         eventlog.info(
             "request-suspected",
             request=run.start.request,
-            mark=f"{run.start.mark:016x}",
+            mark=f"{run.start.fingerprint:016x}",
             endpoint=run.start.endpoint,
             weight=weight,
         )
--- a/gaprock/agent_hub.py
+++ b/gaprock/agent_hub.py
@@ -50,7 +50,7 @@
     __slots__ = (
         "identity",
         "beat",
-        "heard_at",
+        "last_seen_at",
         "runs",
         "seen",
         "is_silent",
@@ -60,7 +60,7 @@
     def __init__(self, identity: bytes) -> None:
         self.identity = identity
         self.beat: messages.Beat | None = None
-        self.heard_at = 0.0
+        self.last_seen_at = 0.0
         # Requests whose end the entry has not acknowledged, by attempt number.
         self.runs: dict[int, agent_run.Run] = {}
         # The attempt numbers that arrived last, in order of arrival.
@@ -159,7 +159,7 @@
 
         :returns: whether there is such an entry.
         """
-        peers = sorted(self._live_peers(), key=lambda p: p.heard_at, reverse=True)
+        peers = sorted(self._live_peers(), key=lambda p: p.last_seen_at, reverse=True)
         for peer in peers[: bills.HANDOVER_COPIES]:
             self.post(peer.identity, messages.BillsHandover(held))
         return bool(peers)
@@ -235,7 +235,7 @@
         if peer is None:
             peer = self._peers[frames[0]] = Peer(frames[0])
             self._report_at = 0.0
-        peer.heard_at = self._clock.now()
+        peer.last_seen_at = self._clock.now()
         peer.is_silent = False
         try:
             self.handle(msg, peer)
@@ -285,12 +285,12 @@
         include_held = now >= self._held_sent_at + quarantine.HELD_RESEND_S
         if include_held:
             self._held_sent_at = now
-        return self._quarantine.news((quarantine.Origin.NEAR,), include_held)
+        return self._quarantine.updates((quarantine.Origin.NEAR,), include_held)
 
     def _known_entries(self) -> list[messages.Known]:
         """Return the entries' revisions if this report is to list them."""
         known = [
-            messages.Known(peer.name, peer.beat.revision, peer.heard_at)
+            messages.Known(peer.name, peer.beat.revision, peer.last_seen_at)
             for peer in self._live_peers()
             if peer.beat is not None
         ]
@@ -305,7 +305,9 @@
 
     def _live_peers(self) -> list[Peer]:
         since = self._clock.now() - self._cfg.silent_s
-        return [peer for peer in list(self._peers.values()) if peer.heard_at >= since]
+        return [
+            peer for peer in list(self._peers.values()) if peer.last_seen_at >= since
+        ]
 
     def _check_peers(self, now: float) -> None:
         """Cancel the requests of silent entries and let their bills be written.
@@ -313,7 +315,7 @@
         Entries that stay silent for longer are forgotten.
         """
         for peer in list(self._peers.values()):
-            silent_s = now - peer.heard_at
+            silent_s = now - peer.last_seen_at
             self._resend_ends(peer, now)
             if silent_s > self._cfg.stream_silent_s and not peer.is_silent:
                 peer.is_silent = True
@@ -347,7 +349,7 @@
         peer.beat = msg
         self.orders.record_epoch(msg.epoch)
         self._evidence.merge(msg.evidence)
-        self._quarantine.take(msg.suspects, is_far=False)
+        self._quarantine.merge(msg.suspects, is_far=False)
         if self._config.add_urgent(msg.urgent):
             eventlog.warning("urgent-from-entry", keys=",".join(msg.urgent))
             self._report_at = 0.0
@@ -361,15 +363,15 @@
         peer.runs[msg.attempt] = run
         if msg.revision > self._config.revision:
             self.post(peer.identity, messages.ConfigWanted(self._config.revision))
-        self.gate.take(run)
+        self.gate.submit(run)
 
     @handle.register
     def _(self, msg: messages.Ack, peer: Peer) -> None:
         run = peer.runs.get(msg.attempt)
         if run is None:
             return
-        run.ack(msg.upto)
-        if run.ended and msg.upto >= run.count:
+        run.ack(msg.next_seq)
+        if run.ended and msg.next_seq >= run.count:
             del peer.runs[msg.attempt]
 
     @handle.register
@@ -382,7 +384,7 @@
     def _(self, msg: messages.Resume, peer: Peer) -> None:
         run = peer.runs.get(msg.attempt)
         if run is not None:
-            run.resend(msg.upto)
+            run.resend(msg.next_seq)
             return
         self._answer_unknown(msg, peer)
 
--- a/gaprock/agent_run.py
+++ b/gaprock/agent_run.py
@@ -96,7 +96,7 @@
         """Whether the end has been posted."""
         return self._end is not None
 
-    def give(self, data: bytes, count: int) -> None:
+    def post_parts(self, data: bytes, count: int) -> None:
         """Post parts; block while the entry's window is full.
 
         :param data: the parts, joined.
@@ -214,7 +214,7 @@
             if self._endpoint.option.kind == "service":
                 code = errorcodes.OUTCOME_UNKNOWN
             return self._end(code, f"status {answer.status}")
-        self._run.give(answer.body, 1)
+        self._run.post_parts(answer.body, 1)
         parts = bills.parts_of(answer.body)
         return self._end(
             None, "", answer.status, answer.content_type, billed_parts=parts
@@ -240,7 +240,7 @@
                 self._record_first_part()
                 for i in range(0, len(events), max_parts):
                     batch = events[i : i + max_parts]
-                    self._run.give(b"".join(batch), len(batch))
+                    self._run.post_parts(b"".join(batch), len(batch))
         finally:
             stream.close()
         return stream.is_complete
--- a/gaprock/backlog.py
+++ b/gaprock/backlog.py
@@ -30,13 +30,13 @@
         self._last_read_at = 0.0
 
     @property
-    def told(self) -> float:
+    def outstanding(self) -> float:
         """All outstanding tokens, without an estimate of what was read since."""
         return self.own + sum(self._peers.values())
 
     def add(self, tokens: float, now: float) -> None:
         """Add a prompt of this gateway."""
-        if not self.told:
+        if not self.outstanding:
             self._last_read_at = now
         self.own += tokens
 
@@ -45,10 +45,10 @@
         self.own = max(0.0, self.own - tokens)
         self._last_read_at = now
 
-    def take(self, gateway: str, tokens: float, now: float) -> None:
+    def record_peer(self, gateway: str, tokens: float, now: float) -> None:
         """Record the outstanding tokens that another gateway reports."""
         before = self._peers.pop(gateway, 0.0)
-        if tokens < before or not self.told:
+        if tokens < before or not self.outstanding:
             self._last_read_at = now
         if tokens:
             self._peers[gateway] = tokens
@@ -58,6 +58,6 @@
 
         :param tokens_per_s: the engine's prefill rate.
         """
-        told = self.told
+        told = self.outstanding
         read = READING_SHARE * tokens_per_s * max(0.0, now - self._last_read_at)
         return max(LEFT_SHARE * told, told - read)
--- a/gaprock/claims.py
+++ b/gaprock/claims.py
@@ -82,7 +82,7 @@
         # Outcomes that still have to be written to the table, by key.
         self._open_outcomes: dict[str, Claim] = {}
 
-    def take(
+    def claim(
         self, workspace: str, request: str, digest: str, deadline: float
     ) -> Claim | StoredAnswer:
         """Claim a request id.
@@ -132,7 +132,7 @@
             value["object"] = self._store_body(claim.key, body)
         self._write_outcome(claim, value)
 
-    def mark(self, claim: Claim, state: str) -> None:
+    def write_state(self, claim: Claim, state: str) -> None:
         """Store that a call was not run, or that its outcome is unknown.
 
         :param state: ``NOT_RUN`` or ``UNKNOWN``.
--- a/gaprock/clock.py
+++ b/gaprock/clock.py
@@ -90,8 +90,8 @@
     """Detects that this process did not run for a while.
 
     :param clock_: a clock that runs during a suspension.
-    :param max_interval_s: longest time between two calls of ``look`` in a process that
-        is not held up.
+    :param max_interval_s: longest time between two calls of ``find_gaps`` in a process
+        that is not held up.
     :param monotonic: a clock that stands still during a suspension.
     """
 
@@ -106,7 +106,7 @@
         self._checked_at = clock_.now()
         self._offset_s = self._checked_at - self._monotonic.now()
 
-    def look(self) -> list["Gap"]:
+    def find_gaps(self) -> list["Gap"]:
         """Return the gaps since the last call."""
         now = self._clock.now()
         offset_s = now - self._monotonic.now()
--- a/gaprock/departures.py
+++ b/gaprock/departures.py
@@ -238,7 +238,7 @@
             told.as_of = known.as_of
             self._set(incarnation, told, sender)
 
-    def lives(self) -> list[str]:
+    def incarnations(self) -> list[str]:
         """Return the incarnations that leave."""
         with self._lock:
             return [k for k, one in self._known.items() if one.since < clock.NEVER]
--- a/gaprock/directory.py
+++ b/gaprock/directory.py
@@ -81,14 +81,14 @@
             if not endpoint.running:
                 endpoint.sent_at = now
             endpoint.running += 1
-            if not endpoint.is_over:
+            if not endpoint.has_ended:
                 self._busy[endpoint.incarnation] = endpoint
-            endpoint.backlog.add(prompt.reading, now)
+            endpoint.backlog.add(prompt.prefill_tokens, now)
             if endpoint.ejected_until and now >= endpoint.ejected_until:
                 endpoint.probe_in_flight = True
                 self._set_unreachable(endpoint, False)
 
-    def read(
+    def record_prefilled(
         self, endpoint: endpoint_state.Endpoint, prompt: endpoint_state.Prompt
     ) -> None:
         """Record that prefill of a prompt is done, since its answer has begun.
@@ -97,18 +97,18 @@
         prefix that arrives during the prefill is read in full as well.
         """
         with self._lock:
-            endpoint.backlog.remove(prompt.reading, self._clock.now())
+            endpoint.backlog.remove(prompt.prefill_tokens, self._clock.now())
             if prompt.hashes:
                 self._use(endpoint, prompt.hashes)
                 self._prompts.append((endpoint.incarnation, prompt.hashes))
                 self._prompt_count += 1
 
-    def drop(
+    def discard_prompt(
         self, endpoint: endpoint_state.Endpoint, prompt: endpoint_state.Prompt
     ) -> None:
         """Remove a prompt from the backlog: its send ended before prefill was done."""
         with self._lock:
-            endpoint.backlog.remove(prompt.reading, self._clock.now())
+            endpoint.backlog.remove(prompt.prefill_tokens, self._clock.now())
 
     def unread(self, endpoint: endpoint_state.Endpoint) -> float:
         """Return the estimated prefill backlog, in tokens of the largest model."""
@@ -122,7 +122,7 @@
         tokens_per_s = self.pace.tokens_per_s(endpoints[0].row.service)
         with self._lock:
             if not mechanisms.BACKLOG_FALLS.on:
-                return [e.backlog.told for e in endpoints]
+                return [e.backlog.outstanding for e in endpoints]
             return [e.backlog.left(now, tokens_per_s) for e in endpoints]
 
     def end(self, endpoint: endpoint_state.Endpoint) -> None:
@@ -134,7 +134,7 @@
                 # A probe may end without showing whether the endpoint works.
                 endpoint.probe_in_flight = False
 
-    def heard(self, endpoint: endpoint_state.Endpoint) -> None:
+    def record_seen(self, endpoint: endpoint_state.Endpoint) -> None:
         """Record that bytes arrived from an endpoint."""
         endpoint.last_seen_at = self._clock.now()
         if endpoint.is_unreachable:
@@ -145,7 +145,7 @@
         self, endpoint: endpoint_state.Endpoint, is_unreachable: bool
     ) -> None:
         endpoint.is_unreachable = is_unreachable
-        if is_unreachable and not endpoint.is_over:
+        if is_unreachable and not endpoint.has_ended:
             self._unreachable[endpoint.incarnation] = endpoint
         else:
             self._unreachable.pop(endpoint.incarnation, None)
@@ -176,7 +176,7 @@
             endpoint.checked_at = now
             return True
 
-    def answered(self, endpoint: endpoint_state.Endpoint, failed: bool) -> None:
+    def record_answer(self, endpoint: endpoint_state.Endpoint, failed: bool) -> None:
         """Record an answer, or a failure that the endpoint is responsible for."""
         with self._lock:
             endpoint.answers += 1
--- a/gaprock/directory_peers.py
+++ b/gaprock/directory_peers.py
@@ -106,7 +106,7 @@
             ]
             return sorted({*self._unreachable, *doubted})
 
-    def doubted(self) -> list[str]:
+    def suspected_endpoints(self) -> list[str]:
         """Return the incarnations that any peer reports as unreachable."""
         with self._lock:
             return sorted(self._suspected)
@@ -178,7 +178,9 @@
                 if endpoint is None:
                     continue
                 load = loads.get(incarnation)
-                endpoint.backlog.take(gateway, load.reading if load else 0.0, now)
+                endpoint.backlog.record_peer(
+                    gateway, load.reading if load else 0.0, now
+                )
                 if load is not None:
                     endpoint.others[gateway] = load
                 else:
--- a/gaprock/directory_rows.py
+++ b/gaprock/directory_rows.py
@@ -231,7 +231,7 @@
 
         Sends to it go on, and end as soon as they check its state.
         """
-        endpoint.is_over = True
+        endpoint.has_ended = True
         del self._current[endpoint.incarnation]
         self._forget(endpoint)
         eventlog.info(
@@ -340,7 +340,7 @@
             eventlog.info("hall-back", hall=hall, endpoints=counts[hall])
 
     @property
-    def emptied(self) -> frozenset[str]:
+    def cordoned(self) -> frozenset[str]:
         """The halls that an operator has cordoned."""
         return self._cordoned
 
@@ -421,7 +421,8 @@
             return []
         with self._lock:
             limited = [
-                self._current.get(incarnation) for incarnation in pacer.limits.lives()
+                self._current.get(incarnation)
+                for incarnation in pacer.limits.incarnations()
             ]
             return [
                 e
--- a/gaprock/endpoint_state.py
+++ b/gaprock/endpoint_state.py
@@ -30,13 +30,13 @@
 class Prompt(typing.NamedTuple):
     """Prefill work that a send causes at an endpoint.
 
-    :param reading: uncached part, in tokens of the largest model.
+    :param prefill_tokens: uncached part, in tokens of the largest model.
     :param hashes: prefix hashes of the whole prompt.
     :param tokens: uncached part, in tokens of its own model.
     :param cached: share of the prompt that is cached there.
     """
 
-    reading: float
+    prefill_tokens: float
     hashes: list[prefix_cache.PrefixHash]
     tokens: int = 0
     cached: float = 0.0
@@ -60,7 +60,7 @@
         "name",
         "incarnation",
         "row",
-        "is_over",
+        "has_ended",
         "leave_at",
         "row_leave_at",
         "answer_leave_at",
@@ -90,7 +90,7 @@
         self.incarnation = incarnation_id(name, row.born)
         self.row = row
         # Whether the endpoint has restarted since.
-        self.is_over = False
+        self.has_ended = False
         # When to stop using it, by its row and by its answers, and the earlier of both;
         # ``NEVER`` while it is not leaving.
         self.leave_at = clock.NEVER
--- a/gaprock/entry_attempt.py
+++ b/gaprock/entry_attempt.py
@@ -112,7 +112,7 @@
                 return
             self._raise_failure()
 
-    def take(self, deadline: float, clock_: clock.Clock) -> bytes:
+    def read(self, deadline: float, clock_: clock.Clock) -> bytes:
         """Read all parts that have arrived; wait for at least one.
 
         :returns: the parts, joined; empty at the end of a complete answer.
@@ -130,7 +130,7 @@
 
     @property
     def end(self) -> messages.End:
-        """The end; available once ``take`` has returned no data."""
+        """The end; available once ``read`` has returned no data."""
         assert self._end is not None
         return self._end
 
--- a/gaprock/entry_call.py
+++ b/gaprock/entry_call.py
@@ -94,7 +94,7 @@
         self.prefix = ""
 
     @property
-    def mark(self) -> int:
+    def fingerprint(self) -> int:
         """The request's fingerprint."""
         return request_fingerprint.fingerprint_of(
             self.workspace, self.template.name, self.digest, b""
--- a/gaprock/entry_dispatch.py
+++ b/gaprock/entry_dispatch.py
@@ -174,10 +174,12 @@
         """
         if self._quarantine.is_empty:
             return
-        held_s = self._quarantine.held_for_s(call.mark)
+        held_s = self._quarantine.held_for_s(call.fingerprint)
         if held_s:
             held = errors.GaprockError(
-                errorcodes.HELD, f"mark {call.mark:016x}", self._clock.now() + held_s
+                errorcodes.HELD,
+                f"mark {call.fingerprint:016x}",
+                self._clock.now() + held_s,
             )
             raise _refusal_to_report(refusal, held)
 
@@ -264,7 +266,7 @@
             window=self._cfg.window,
             path=call.path,
             body=call.body_for(version),
-            mark=call.mark,
+            fingerprint=call.fingerprint,
         )
 
     def _is_retriable(self, call: entry_call.Call, exc: errors.GaprockError) -> bool:
--- a/gaprock/entry_link.py
+++ b/gaprock/entry_link.py
@@ -330,7 +330,7 @@
         if include_held:
             self._held_sent_at = now
         origins = (quarantine.Origin.OWN, quarantine.Origin.NEAR)
-        return self.shared.quarantine.news(origins, include_held)
+        return self.shared.quarantine.updates(origins, include_held)
 
     def _add_sent(self, endpoint: str, change: int) -> None:
         self._sent_since[endpoint] = self._sent_since.get(endpoint, 0) + change
@@ -364,10 +364,12 @@
         attempt.checked_at = self.last_seen_at
         # Recorded before the end, so that a thread waiting for the end sees it.
         if msg.ended_incarnation:
-            mark = attempt.start.mark
-            self.shared.quarantine.note(mark, msg.ended_incarnation, msg.weight)
+            mark = attempt.start.fingerprint
+            self.shared.quarantine.record_crash(
+                mark, msg.ended_incarnation, msg.suspicion_weight
+            )
         elif msg.code == errorcodes.OK and not self.shared.quarantine.is_empty:
-            self.shared.quarantine.clear(attempt.start.mark)
+            self.shared.quarantine.clear(attempt.start.fingerprint)
         if not attempt.finish(msg):
             self._mailbox.put(self._resume(attempt))
 
@@ -387,7 +389,7 @@
             self.known_entries = msg.entries or self.known_entries
         self._fail_older_incarnations(msg.incarnation)
         self.shared.evidence.merge(msg.evidence)
-        self.shared.quarantine.take(msg.suspects, is_far=False)
+        self.shared.quarantine.merge(msg.suspects, is_far=False)
         self.shared.epoch = max(self.shared.epoch, msg.epoch)
         self._compare_config(msg.revision, msg.urgent)
 
--- a/gaprock/entry_serve.py
+++ b/gaprock/entry_serve.py
@@ -258,7 +258,7 @@
     ) -> answers.Answer:
         deadline = call.deadline + entry_dispatch.DEADLINE_GRACE_S
         body = b""
-        while data := started.attempt.take(deadline, self._clock):
+        while data := started.attempt.read(deadline, self._clock):
             body += data
         end = started.attempt.end
         return answers.Answer(end.status, end.content_type, body)
@@ -317,7 +317,7 @@
         The claim precedes the choice of a version: for an id that has run, the stored
         outcome is returned even if no version could run the call now.
         """
-        claim = self._claims.take(
+        claim = self._claims.claim(
             call.workspace, call.request, call.digest, call.deadline
         )
         if isinstance(claim, claims.StoredAnswer):
@@ -329,10 +329,10 @@
             answer = self._serve_whole(call, choice.versions[:1])
         except errors.GaprockError as exc:
             state = claims.NOT_RUN if exc.not_run else claims.UNKNOWN
-            self._claims.mark(claim, state)
+            self._claims.write_state(claim, state)
             raise
         except BaseException:
-            self._claims.mark(claim, claims.UNKNOWN)
+            self._claims.write_state(claim, claims.UNKNOWN)
             raise
         self._claims.finish(claim, answer.status, answer.content_type, answer.body)
         return answer
@@ -380,7 +380,7 @@
         deadline = call.deadline + entry_dispatch.DEADLINE_GRACE_S
         acked = 0
         try:
-            while data := attempt.take(deadline, self._clock):
+            while data := attempt.read(deadline, self._clock):
                 if to_rate is not None:
                     to_rate.append(data)
                 yield data
--- a/gaprock/event_source.py
+++ b/gaprock/event_source.py
@@ -38,7 +38,7 @@
                 if self._splitter.is_incomplete:
                     raise Broken("ended in the middle of an event")
                 return []
-            self._directory.heard(self.attempt.endpoint)
+            self._directory.record_seen(self.attempt.endpoint)
             events = self._splitter.feed(data)
             if events:
                 return events
--- a/gaprock/gateway_attempt.py
+++ b/gaprock/gateway_attempt.py
@@ -76,12 +76,12 @@
         """Record that the endpoint prefilled the prompt; may be called repeatedly."""
         if self._is_unread:
             self._is_unread = False
-            directory_.read(self.endpoint, self.prompt)
+            directory_.record_prefilled(self.endpoint, self.prompt)
 
     @property
     def prefill_tokens(self) -> float:
         """Tokens yet to prefill when the call was sent, its own prompt included."""
-        return self.unread_before + self.prompt.reading
+        return self.unread_before + self.prompt.prefill_tokens
 
     def finish(self, directory_: directory.Directory) -> None:
         """Close the connection and end the request's part in the endpoint's load.
@@ -93,6 +93,6 @@
         self._is_finished = True
         if self._is_unread:
             self._is_unread = False
-            directory_.drop(self.endpoint, self.prompt)
+            directory_.discard_prompt(self.endpoint, self.prompt)
         self.exchange.close()
         directory_.end(self.endpoint)
--- a/gaprock/gateway_call.py
+++ b/gaprock/gateway_call.py
@@ -145,7 +145,7 @@
         self._mark: int | None = None
 
     @property
-    def mark(self) -> int:
+    def fingerprint(self) -> int:
         """The request's fingerprint; the body is hashed on first use."""
         if self._mark is None:
             caller = self.workspace.name if self.workspace else self.info.key
@@ -162,7 +162,7 @@
         if self.inbound.path != other.inbound.path:
             return False
         is_same_size = len(self.inbound.body) == len(other.inbound.body)
-        return is_same_size and self.mark == other.mark
+        return is_same_size and self.fingerprint == other.fingerprint
 
     def record_write(self, now: float) -> None:
         """Record a write to the caller."""
--- a/gaprock/gateway_choose.py
+++ b/gaprock/gateway_choose.py
@@ -120,7 +120,7 @@
             session=gateway_call.session_hash(call),
             load=chosen.load,
             unread=self._directory.unread(chosen),
-            reading=prompt.reading,
+            reading=prompt.prefill_tokens,
             whole=whole,
             heard_s=now - chosen.last_seen_at,
         )
@@ -203,7 +203,7 @@
             return None
         return rate_pacing.Turn(next_at, sum(turn.per_s for turn in turns))
 
-    def living(self, call: gateway_call.Call) -> tuple[int, int]:
+    def count_reachable(self, call: gateway_call.Call) -> tuple[int, int]:
         """Count the endpoints that may run a call.
 
         :returns: the number of those that are reachable, and of all of them.
@@ -222,7 +222,7 @@
         In this case there is no point in waiting for an endpoint.
         """
         halls = self._directory.halls_of(call.service)
-        open_halls = halls - self._directory.emptied
+        open_halls = halls - self._directory.cordoned
         return bool(halls) and not any(self._may_run_in(call, h) for h in open_halls)
 
     def _may_run_in(self, call: gateway_call.Call, hall: str) -> bool:
@@ -294,7 +294,7 @@
             sent_since=0,
             same_hall=endpoint.row.hall == self._hall,
             holds_prefix=False,
-            unread=(unread + prompt.reading) / mean_prompt,
+            unread=(unread + prompt.prefill_tokens) / mean_prompt,
             cached=prompt.cached,
         )
 
--- a/gaprock/gateway_find.py
+++ b/gaprock/gateway_find.py
@@ -103,7 +103,7 @@
         """Whether a suspected request must wait for an earlier try or for endpoints."""
         gate = self._gate
         return gate.must_wait(call) or gate.must_reserve_last(
-            call, self._chooser.living
+            call, self._chooser.count_reachable
         )
 
     def _refuse_unservable(self, call: gateway_call.Call) -> None:
@@ -114,7 +114,7 @@
         """
         if self._chooser.has_no_permitted_hall(call):
             raise self._no_permitted_hall(call)
-        living, _ = self._chooser.living(call)
+        living, _ = self._chooser.count_reachable(call)
         if not living:
             raise self._all_down(call)
 
--- a/gaprock/gateway_judge.py
+++ b/gaprock/gateway_judge.py
@@ -37,7 +37,7 @@
         self._directory = directory_
         self._rollouts = rollouts_
 
-    def answered(
+    def record_answer(
         self,
         call: gateway_call.Call,
         attempt: gateway_attempt.Attempt,
@@ -47,7 +47,7 @@
 
         :param failed: whether the answer is a failure of the endpoint.
         """
-        self._directory.answered(attempt.endpoint, failed)
+        self._directory.record_answer(attempt.endpoint, failed)
         if attempt.is_judged:
             return
         attempt.is_judged = True
@@ -102,7 +102,7 @@
             crashed. This is not counted against its version, and would interrupt many
             answers at once.
         """
-        self._directory.answered(attempt.endpoint, failed=True)
+        self._directory.record_answer(attempt.endpoint, failed=True)
         if not is_reachable or not self.judges_breaks(call):
             return
         attempt.is_judged = True
--- a/gaprock/gateway_metrics.py
+++ b/gaprock/gateway_metrics.py
@@ -20,7 +20,7 @@
         "sends",
         "repeats",
         "first_byte",
-        "whole",
+        "answer_end",
         "open_calls",
         "log_lines_dropped",
         "config_number",
@@ -68,7 +68,7 @@
             buckets=BUCKETS,
             registry=registry,
         )
-        self.whole = prometheus_client.Histogram(
+        self.answer_end = prometheus_client.Histogram(
             "gaprock_whole_seconds",
             "Time until the answer ends, by route",
             ["route"],
--- a/gaprock/gateway_models.py
+++ b/gaprock/gateway_models.py
@@ -118,8 +118,8 @@
         pace = self._directory.pace
         pace.observe(call.service, attempt.prefill_tokens, took_s)
         service = self._services().get(call.service)
-        if service is not None and attempt.model and attempt.prompt.reading:
-            ahead_share = attempt.unread_before / attempt.prompt.reading
+        if service is not None and attempt.model and attempt.prompt.prefill_tokens:
+            ahead_share = attempt.unread_before / attempt.prompt.prefill_tokens
             tokens = attempt.prompt.tokens
             pace.observe_model(service, attempt.model, tokens, ahead_share, took_s)
 
@@ -165,7 +165,8 @@
         tokens_in = call.info.tokens_in
         tokens = min(
             (
-                self._directory.unread(e) + e.prompt(hashes, tokens_in, weight).reading
+                self._directory.unread(e)
+                + e.prompt(hashes, tokens_in, weight).prefill_tokens
                 for e in usable
             ),
             default=weight * tokens_in,
--- a/gaprock/gateway_node.py
+++ b/gaprock/gateway_node.py
@@ -418,7 +418,7 @@
     # -- Tasks --
 
     def _step_rollouts(self) -> None:
-        self.rollouts.look()
+        self.rollouts.judge_all()
         if not self.leaving:
             self.writer.step()
 
@@ -428,7 +428,7 @@
         Nothing else has to be done: all ages and deadlines use a clock that went on
         meanwhile, so expired data counts as expired at the first check afterwards.
         """
-        for gap in self._gap_detector.look():
+        for gap in self._gap_detector.find_gaps():
             self.metrics.clock_gaps.labels(gap.kind).inc(gap.length_s)
             eventlog.warning("clock-gap", kind=gap.kind, length_s=gap.length_s)
 
@@ -469,9 +469,9 @@
 
     def _set_notice_metrics(self, notices: endpoint_notices.EndpointNotices) -> None:
         """Set the gauges for what endpoints announce in their answers."""
-        self.metrics.endpoints_limited.set(len(notices.pacer.limits.lives()))
+        self.metrics.endpoints_limited.set(len(notices.pacer.limits.incarnations()))
         self.metrics.sends_paced.set(notices.pacer.paced)
-        self.metrics.endpoints_leaving.set(len(notices.departures.lives()))
+        self.metrics.endpoints_leaving.set(len(notices.departures.incarnations()))
         self.metrics.endpoints_backing_off.set(notices.backoffs.count())
         self.metrics.backoffs.set(notices.backoffs.asked)
         self.metrics.sends_backed_off.set(notices.backoffs.stopped_sends)
--- a/gaprock/gateway_own_rows.py
+++ b/gaprock/gateway_own_rows.py
@@ -168,7 +168,7 @@
         found = [
             mesh_members.PeerAddress(r.address, r.hall, n) for n, r in own.peers.items()
         ]
-        self._mesh.found(found)
+        self._mesh.add_addresses(found)
         if self._epoch < 0:
             self._epoch = self._epochs.newest
         self._orders.starts.update(own.starts)
--- a/gaprock/gateway_quarantine.py
+++ b/gaprock/gateway_quarantine.py
@@ -69,7 +69,9 @@
     def held_s(self, call: gateway_call.Call) -> float:
         """Return how many more seconds a call is held back; 0 if it is not."""
         return (
-            0.0 if self._quarantine.is_empty else self._quarantine.held_for_s(call.mark)
+            0.0
+            if self._quarantine.is_empty
+            else self._quarantine.held_for_s(call.fingerprint)
         )
 
     def should_withdraw(
@@ -89,7 +91,9 @@
         Of tries that run concurrently, each would crash an endpoint before the first
         crash is known.
         """
-        if self._quarantine.is_empty or not self._quarantine.is_suspected(call.mark):
+        if self._quarantine.is_empty or not self._quarantine.is_suspected(
+            call.fingerprint
+        ):
             return False
         with self._lock:
             open_calls = list(self._open_calls)
@@ -112,7 +116,7 @@
         """
         if self._quarantine.is_empty:
             return False
-        crash_count = self._quarantine.crash_count(call.mark)
+        crash_count = self._quarantine.crash_count(call.fingerprint)
         return bool(crash_count) and quarantine.reserves_last_endpoint(
             crash_count, *living(call)
         )
@@ -120,7 +124,7 @@
     def record_success(self, call: gateway_call.Call) -> None:
         """Record that a call was answered completely."""
         if not self._quarantine.is_empty:
-            self._quarantine.clear(call.mark)
+            self._quarantine.clear(call.fingerprint)
 
     # -- Blame --
 
@@ -142,10 +146,10 @@
             self._broken_answers.setdefault(endpoint, []).append(
                 BrokenAnswer(call, weight)
             )
-        if endpoint.is_unreachable or endpoint.is_over:
+        if endpoint.is_unreachable or endpoint.has_ended:
             self._blame(endpoint)
 
-    def lives(self, endpoint: endpoint_state.Endpoint) -> None:
+    def record_alive(self, endpoint: endpoint_state.Endpoint) -> None:
         """Record that an endpoint accepts connections, so no broken send crashed it."""
         with self._lock:
             self._broken_answers.pop(endpoint, None)
@@ -160,11 +164,11 @@
         with self._lock:
             waiting = list(self._broken_answers)
         for endpoint in waiting:
-            if endpoint.is_unreachable or endpoint.is_over:
+            if endpoint.is_unreachable or endpoint.has_ended:
                 self._blame(endpoint)
             elif self._directory.claim_connection_check(endpoint):
                 if connects(endpoint):
-                    self.lives(endpoint)
+                    self.record_alive(endpoint)
                 else:
                     self._blame(endpoint)
 
@@ -176,8 +180,10 @@
             eventlog.info(
                 "request-suspected",
                 request=broken.call.info.request,
-                mark=f"{broken.call.mark:016x}",
+                mark=f"{broken.call.fingerprint:016x}",
                 endpoint=endpoint.name,
                 weight=broken.weight,
             )
-            self._quarantine.note(broken.call.mark, endpoint.incarnation, broken.weight)
+            self._quarantine.record_crash(
+                broken.call.fingerprint, endpoint.incarnation, broken.weight
+            )
--- a/gaprock/gateway_relay.py
+++ b/gaprock/gateway_relay.py
@@ -113,7 +113,7 @@
             try:
                 larger = self._models.larger(call, attempt)
                 if larger:
-                    self._judge.answered(call, attempt, failed=False)
+                    self._judge.record_answer(call, attempt, failed=False)
                     attempt.finish(self.directory)
                     sends.spend_repeat(call, "climb")
                     model = larger
@@ -123,7 +123,7 @@
                         continue
                     return source, None
                 events = self._first_events(call, sends, source)
-                self._judge.answered(call, attempt, failed=False)
+                self._judge.record_answer(call, attempt, failed=False)
                 return source, events
             except event_source.Broken as exc:
                 attempt.finish(self.directory)
@@ -172,7 +172,7 @@
         Only a failure of the endpoint is repeated elsewhere, if the call may be.
         """
         failed = attempt.head.status >= gateway_attempt.SERVER_ERROR
-        self._judge.answered(call, attempt, failed)
+        self._judge.record_answer(call, attempt, failed)
         if not failed or not sends.may_repeat(call):
             return False
         call.excluded.add(attempt.endpoint.incarnation)
@@ -338,7 +338,7 @@
             pass
         elif detail == gateway_attempt.DEADLINE:
             self._judge.judge_pending(call, attempt)
-            self.directory.answered(attempt.endpoint, failed=True)
+            self.directory.record_answer(attempt.endpoint, failed=True)
         else:
             self._sender.record_break(call, attempt)
         self._sender.record_failure(call, attempt, "broken", detail)
--- a/gaprock/gateway_sender.py
+++ b/gaprock/gateway_sender.py
@@ -155,7 +155,7 @@
                 call.excluded.add(endpoint.incarnation)
                 self.record_break(call, attempt)
                 raise gateway_attempt.Failed(str(exc)) from exc
-        self._directory.heard(endpoint)
+        self._directory.record_seen(endpoint)
         attempt.head_at = self._clock.now()
         attempt.head = self._dialect.read_answer(raw.status, raw.headers)
         self._record_notice(call, attempt)
@@ -190,7 +190,7 @@
                 reason = self._give_up_reason(call, attempt, last_data_at, may_give_up)
                 if reason:
                     if reason != gateway_attempt.HELD:
-                        self._directory.answered(attempt.endpoint, failed=True)
+                        self._directory.record_answer(attempt.endpoint, failed=True)
                         self._record_endpoint_end(call, attempt, reason)
                     raise gateway_attempt.Failed(f"body: {reason}") from exc
                 continue
@@ -215,7 +215,7 @@
         call.has_run = True
         if reason != gateway_attempt.HELD:
             call.excluded.add(attempt.endpoint.incarnation)
-            self._directory.answered(attempt.endpoint, failed=True)
+            self._directory.record_answer(attempt.endpoint, failed=True)
             self._record_endpoint_end(call, attempt, reason)
         raise gateway_attempt.Failed(reason)
 
@@ -260,7 +260,7 @@
         endpoint = attempt.endpoint
         if now >= call.deadline:
             return gateway_attempt.DEADLINE
-        if endpoint.is_over:
+        if endpoint.has_ended:
             return gateway_attempt.RESTARTED
         if self._gate.should_withdraw(call, attempt):
             return gateway_attempt.HELD
@@ -281,7 +281,7 @@
         lives = lives and self._accepts_connections(endpoint)
         self._judge.record_broken_answer(call, attempt, lives)
         if lives:
-            self._gate.lives(endpoint)
+            self._gate.record_alive(endpoint)
         elif weight:
             self._gate.record_broken_answer(call, endpoint, weight)
 
@@ -364,7 +364,7 @@
         unsigned = head.status < 300 and not head.signed
         if is_mismatched or unsigned or head.encoded:
             call.excluded.add(endpoint.incarnation)
-            self._directory.answered(endpoint, failed=True)
+            self._directory.record_answer(endpoint, failed=True)
             raise gateway_attempt.Failed("not an answer to this request")
 
     def record_failure(
@@ -390,6 +390,6 @@
             detail=detail,
             # The fingerprint that failed sends of one request share, and how long ago
             # the head of this one's answer came.
-            mark=f"{call.mark:016x}",
+            mark=f"{call.fingerprint:016x}",
             begun_s=attempt.answer_age_s(self._clock.now()),
         )
--- a/gaprock/gateway_serve.py
+++ b/gaprock/gateway_serve.py
@@ -285,7 +285,9 @@
             return
         if call.has_run:
             raise self._finder.unknown(call, gateway_attempt.HELD)
-        raise gateway_call.CallError(errorcodes.HELD, f"mark {call.mark:016x}", held_s)
+        raise gateway_call.CallError(
+            errorcodes.HELD, f"mark {call.fingerprint:016x}", held_s
+        )
 
     def may_repeat(self, call: gateway_call.Call) -> bool:
         """Return whether a call that may have run may be sent again."""
@@ -294,7 +296,7 @@
     def spend_repeat(self, call: gateway_call.Call, reason: str) -> None:
         """Charge a repeat to the retry budget, which had one left just now."""
         now = self._clock.now()
-        self._budget.take(call.service, now)
+        self._budget.spend(call.service, now)
         word = reason.partition(":")[0].partition(" ")[0]
         self._metrics.repeats.labels(call.service, word).inc()
         eventlog.info(
@@ -330,7 +332,7 @@
         finally:
             attempt.finish(self._relay.directory)
         failed = attempt.head.status >= gateway_attempt.SERVER_ERROR
-        self._judge.answered(call, attempt, failed)
+        self._judge.record_answer(call, attempt, failed)
         return body
 
     # -- Ends --
@@ -362,7 +364,7 @@
         )
         if call is not None and call.first_write_at:
             self._metrics.first_byte.labels(name).observe(first_s)
-            self._metrics.whole.labels(name).observe(took_s)
+            self._metrics.answer_end.labels(name).observe(took_s)
         eventlog.info(
             "request",
             request=call.info.request if call else "unchecked",
--- a/gaprock/mesh.py
+++ b/gaprock/mesh.py
@@ -361,15 +361,15 @@
             self._directory.pacer.record_news(beat.sender, 1, beat.limits)
             self._directory.apply_peer_departures(beat.sender, beat.departing)
         self._directory.apply_peer_prompts(beat.prompts)
-        self._quarantine.take(beat.suspects, self._is_far(peer))
-        self._reported_peak.note(beat.fleet, now)
+        self._quarantine.merge(beat.suspects, self._is_far(peer))
+        self._reported_peak.record(beat.fleet, now)
         for hall in beat.halls:
-            self.halls.take(hall, now, is_forwarded=not self._is_far(peer))
+            self.halls.record(hall, now, is_forwarded=not self._is_far(peer))
         for news in beat.rollouts:
             self._rollouts.merge_reported(news, now, beat.sender)
         if beat.evidence and self._evidence.merge(beat.evidence):
             self._rollouts.learn_routes(beat.evidence)
-            self._rollouts.look()
+            self._rollouts.judge_all()
         self._exchange_tables(peer, now)
 
     def _exchange_tables(self, peer: mesh_peers.Peer, now: float) -> None:
--- a/gaprock/mesh_beats.py
+++ b/gaprock/mesh_beats.py
@@ -97,7 +97,7 @@
         halt_states = [(r.order.service, r.revision, r.halted) for r in rolls]
         reachability = (
             self._directory.unreachable_endpoints(),
-            self._directory.doubted(),
+            self._directory.suspected_endpoints(),
         )
         held = list(self._quarantine.held_changes.values())
         limits = sorted(one.urgent for one in self._directory.pacer.news())
@@ -118,9 +118,9 @@
     def _near_news(self) -> mesh_peers.BeatContent:
         """Return what justifies a heartbeat to the own hall before the idle one."""
         rolls = self._rollout_news()
-        moving = [(n.on_old, n.kept) for n in rolls]
+        moving = [(n.on_old, n.pinned) for n in rolls]
         evidence_tick, _ = self._evidence.since(1 << 60)
-        versions = [table.point for table in self._tables()]
+        versions = [table.store_position for table in self._tables()]
         # A gateway that read a change from the store reports it at once.  One that has
         # it from a peer does not, or each change would make all gateways of a hall
         # send.
@@ -178,8 +178,8 @@
             return mesh_peers.BeatContent((), ())
         hall = self._hall_news(now)
         tables = self._tables()
-        orders = tables[0].point if tables else (0, 0)
-        moving = [(roll.on_old, roll.kept) for roll in hall.rollouts]
+        orders = tables[0].store_position if tables else (0, 0)
+        moving = [(roll.on_old, roll.pinned) for roll in hall.rollouts]
         evidence_tick, _ = self._evidence.since(1 << 60)
         verified_times = self._verified_times()
         held, suspected = self._quarantine_changes(is_far=True)
@@ -302,7 +302,7 @@
         :param include_held: whether to include all requests in quarantine, as every
             gateway does now and then for peers that start, or that were cut off.
         """
-        return self._quarantine.news(self._origins(self._is_far(peer)), include_held)
+        return self._quarantine.updates(self._origins(self._is_far(peer)), include_held)
 
     def _quarantine_changes(self, is_far: bool) -> tuple[list[int], list[int]]:
         """Return counters of the changes in quarantine that a peer gets from us.
--- a/gaprock/mesh_halls.py
+++ b/gaprock/mesh_halls.py
@@ -62,7 +62,7 @@
         # The newest summary of each hall that was forwarded inside the own hall.
         self._forwarded: dict[str, _Summary] = {}
 
-    def take(
+    def record(
         self, news: mesh_messages.HallNews, now: float, is_forwarded: bool
     ) -> None:
         """Record a summary, and apply what it reports.
@@ -200,16 +200,16 @@
     for news in reported:
         for roll in news:
             old = total.get(roll.service)
-            if old is None or roll.point > old.point:
+            if old is None or roll.store_position > old.store_position:
                 total[roll.service] = roll
-            elif roll.point == old.point:
+            elif roll.store_position == old.store_position:
                 total[roll.service] = mesh_messages.RolloutUpdate(
                     roll.service,
                     roll.revision,
                     max(old.age_s, roll.age_s),
                     old.halted or roll.halted,
                     old.on_old + roll.on_old,
-                    sorted({*old.kept, *roll.kept}),
+                    sorted({*old.pinned, *roll.pinned}),
                     roll.epoch,
                 )
     return list(total.values())
--- a/gaprock/mesh_members.py
+++ b/gaprock/mesh_members.py
@@ -58,7 +58,7 @@
         self._since = -clock.NEVER
         self._newer = self._older = 0
 
-    def note(self, count: int, now: float) -> None:
+    def record(self, count: int, now: float) -> None:
         """Record a count."""
         if now >= self._since + self._keep_s:
             self._since, self._older, self._newer = now, self._newer, 0
@@ -108,10 +108,10 @@
         # Whether we were among our hall's relays when that was last checked.
         self._is_relay = False
 
-    def found(self, found: list[PeerAddress]) -> None:
+    def add_addresses(self, found: list[PeerAddress]) -> None:
         """Add addresses of gateways that were read from the store."""
         others = [one for one in found if one.address != self.address]
-        self._counted_peak.note(1 + len(others), self._clock.now())
+        self._counted_peak.record(1 + len(others), self._clock.now())
         with self._lock:
             self._new_addresses += others
         names = [one.name for one in others if one.hall == self.hall]
@@ -157,7 +157,7 @@
     def _count_members(self, now: float) -> None:
         """Record the present number of members, once any number is known."""
         if self._counted_peak.value or self._reported_peak.value:
-            self._counted_peak.note(self.members(), now)
+            self._counted_peak.record(self.members(), now)
 
     def duty_rank(self, label: str) -> int:
         """Return our rank among the live gateways for a duty; a hash orders them.
--- a/gaprock/mesh_messages.py
+++ b/gaprock/mesh_messages.py
@@ -33,11 +33,11 @@
     age_s: float
     halted: bool
     on_old: int
-    kept: list[int] = []
+    pinned: list[int] = []
     epoch: int = 0
 
     @property
-    def point(self) -> tuple[int, int]:
+    def store_position(self) -> tuple[int, int]:
         """The epoch and version of the order's row; a greater one is later."""
         return self.epoch, self.revision
 
@@ -59,7 +59,7 @@
     epoch: int = 0
 
     @property
-    def point(self) -> tuple[int, int]:
+    def store_position(self) -> tuple[int, int]:
         """The epoch and the newest change; a greater one is later."""
         return self.epoch, self.changed
 
--- a/gaprock/messages.py
+++ b/gaprock/messages.py
@@ -93,7 +93,7 @@
 
     process: str
     revision: int
-    heard_at: float
+    last_seen_at: float
 
 
 class Message(msgspec.Struct, array_like=True, tag=True):
@@ -174,25 +174,25 @@
     path: str
     body: bytes
     # Fingerprint, the same for each attempt of a request (``request_fingerprint``).
-    mark: int = 0
+    fingerprint: int = 0
 
 
 class Ack(Message):
-    """Entry to agent: the caller has read all parts below ``upto``."""
+    """Entry to agent: the caller has read all parts below ``next_seq``."""
 
     attempt: int
-    upto: int
+    next_seq: int
 
 
 class Resume(Message):
-    """Entry to agent: send again from part ``upto``; acknowledges all parts below it.
+    """Entry to agent: send again from ``next_seq``; acknowledges all parts below it.
 
     ``incarnation`` is that of the agent process to which the request was sent: only
     that process can know that the request never arrived.
     """
 
     attempt: int
-    upto: int
+    next_seq: int
     incarnation: str
 
 
@@ -245,7 +245,7 @@
     # Incarnation of the endpoint that ended during the attempt, if any, and the weight
     # of the suspicion against the request that follows from it.
     ended_incarnation: str = ""
-    weight: int = 0
+    suspicion_weight: int = 0
 
 
 class BillsReleased(Message):
--- a/gaprock/quarantine.py
+++ b/gaprock/quarantine.py
@@ -207,7 +207,7 @@
 
     # -- Observations of this gateway --
 
-    def note(self, fingerprint: int, incarnation: str, weight: int) -> None:
+    def record_crash(self, fingerprint: int, incarnation: str, weight: int) -> None:
         """Record that a request was open when an endpoint crashed."""
         self._merge(SuspectUpdate(fingerprint, {incarnation: weight}), Origin.OWN)
 
@@ -217,7 +217,7 @@
 
     # -- Exchange with peers --
 
-    def take(self, updates: typing.Iterable[SuspectUpdate], is_far: bool) -> None:
+    def merge(self, updates: typing.Iterable[SuspectUpdate], is_far: bool) -> None:
         """Merge the updates of another gateway.
 
         :param is_far: whether that gateway is in another hall.
@@ -229,7 +229,7 @@
             else:
                 self._merge(update, origin)
 
-    def news(
+    def updates(
         self, origins: typing.Container[Origin], include_held: bool
     ) -> list[SuspectUpdate]:
         """Return the updates to send.
--- a/gaprock/rate_limits.py
+++ b/gaprock/rate_limits.py
@@ -193,7 +193,7 @@
         """Whether no limit is known, as most of the time."""
         return not self._known
 
-    def lives(self) -> list[str]:
+    def incarnations(self) -> list[str]:
         """Return the incarnations with a limit."""
         with self._lock:
             return [
--- a/gaprock/retry_window.py
+++ b/gaprock/retry_window.py
@@ -75,7 +75,7 @@
         with self._lock:
             return self._left(service, now)
 
-    def take(self, service: str, now: float) -> bool:
+    def spend(self, service: str, now: float) -> bool:
         """Count a repeat if the budget allows it.
 
         :returns: whether the repeat may be sent.
--- a/gaprock/rollouts.py
+++ b/gaprock/rollouts.py
@@ -254,7 +254,7 @@
             self.halt(news.service, revision, f"reported by {by}", epoch)
         rollout = self._by_service.get(news.service)
         if rollout is not None and rollout.has_order_version(epoch, revision):
-            rollout.pinned.merge_reported(news.kept, now)
+            rollout.pinned.merge_reported(news.pinned, now)
 
     def _record_report(
         self,
@@ -469,7 +469,7 @@
             return False
         return version == rollout.order.to_version
 
-    def look(self) -> None:
+    def judge_all(self) -> None:
         """Judge all rollouts again, after evidence from peers."""
         for rollout in self.all():
             self._judge(rollout)
--- a/gaprock/row_exchange.py
+++ b/gaprock/row_exchange.py
@@ -111,8 +111,8 @@
             self._peer_news[table] = news
         now = self._clock.now()
         known = follower.epoch, follower.version
-        newest, since = self._peer_ahead.get(table, (news.point, now))
-        newest = max(newest, news.point)
+        newest, since = self._peer_ahead.get(table, (news.store_position, now))
+        newest = max(newest, news.store_position)
         if newest <= known:
             self._peer_ahead.pop(table, None)
             return False
@@ -120,7 +120,7 @@
             follower.expect_change()
         # A peer that is as far behind as we are does not end the wait for the change.
         self._peer_ahead[table] = newest, since
-        if news.point <= known:
+        if news.store_position <= known:
             return False
         if follower.on_standby and not is_far:
             return True
@@ -140,7 +140,7 @@
         if self._config is None or number <= self._config.config_number:
             return False
         follower = self._followers[mesh_messages.ORDERS]
-        return orders.point <= (follower.epoch, follower.version)
+        return orders.store_position <= (follower.epoch, follower.version)
 
     def config_copy(self) -> mesh_messages.ConfigCopy | None:
         """Return the configuration in effect; ``None`` before the first one."""
--- a/gaprock/test/fakes/metastore.py
+++ b/gaprock/test/fakes/metastore.py
@@ -40,7 +40,7 @@
         self.withholds_restores = False
         self.calls: list[str] = []
         # The tables of the long polls that are open now.
-        self.waiting: list[str] = []
+        self.open_polls: list[str] = []
         # The tables of the calls that are never answered.
         self.unanswered_calls: list[str] = []
         self._stopping = threading.Event()
@@ -157,11 +157,11 @@
             if not self.history_start <= since <= self.version:
                 return httpfake.Reply(410)
             epoch = self.epoch
-            self.waiting.append(table)
+            self.open_polls.append(table)
             self._changed.wait_for(
                 lambda: self.epoch != epoch or self._newer(table, since), wait_s
             )
-            self.waiting.remove(table)
+            self.open_polls.remove(table)
             if self.epoch != epoch:
                 if self.withholds_restores:
                     self._changed.wait_for(self._stopping.is_set, wait_s)
--- a/gaprock/test/fakes/tables.py
+++ b/gaprock/test/fakes/tables.py
@@ -10,7 +10,7 @@
 DOWN: typing.Final = "down"
 # It takes effect, but its answer is lost.
 LOST: typing.Final = "lost"
-# Its answer is lost, and it takes effect only when ``land`` is called.
+# Its answer is lost, and it takes effect only when ``apply_late`` is called.
 LATE: typing.Final = "late"
 
 
@@ -34,7 +34,7 @@
             raise services_api.AnswerLost("lost")
         return result
 
-    def land(self) -> None:
+    def apply_late(self) -> None:
         """Apply the late transactions whose conditions still hold."""
         late, self._late = self._late, []
         for ops in late:
--- a/gaprock/test/fleetcase.py
+++ b/gaprock/test/fleetcase.py
@@ -150,7 +150,7 @@
         ]
         order = gateway_api.RolloutOrder(SERVICE, "v2", 60.0)
         for number, member in enumerate(self.members):
-            member.mesh.found(found)
+            member.mesh.add_addresses(found)
             # Their heartbeats start at different times.
             member.look_at = self.time.now() + 0.2 * number / len(self.members)
             member.book.add_order(order, 1, self.time.now())
--- a/gaprock/test/testbills.py
+++ b/gaprock/test/testbills.py
@@ -56,9 +56,9 @@
         try:
             books[who].write_due()
         except services_api.PlatformError:
-            table.land()
+            table.apply_late()
     table.faults.clear()
-    table.land()
+    table.apply_late()
     write_all(*books)
     assert sorted(table.rows) == [f"bill/k{number}" for number in range(keys)]
     for row in table.rows.values():
--- a/gaprock/test/testclaims.py
+++ b/gaprock/test/testclaims.py
@@ -60,7 +60,7 @@
     for who, step in steps:
         holder = case.holders[who]
         if step == "land":
-            case.table.land()
+            case.table.apply_late()
             continue
         if step == "settle":
             holder.write_open_outcomes()
@@ -68,14 +68,14 @@
         try:
             # Short enough that a claim is given up after one failed write.
             deadline = case.clock.now() + 0.005
-            claim = holder.take("demo", "id", "digest", deadline)
+            claim = holder.claim("demo", "id", "digest", deadline)
         except errors.GaprockError:
             continue
         if isinstance(claim, claims.StoredAnswer):
             assert ran == 1
             continue
         if step == "not-run":
-            holder.mark(claim, claims.NOT_RUN)
+            holder.write_state(claim, claims.NOT_RUN)
             continue
         ran += 1
         if step == "run":
@@ -185,14 +185,14 @@
         self._inner = inner
         self.paused, self.woken = threading.Event(), threading.Event()
 
-    def take(self, *args: typing.Any) -> claims.Claim | claims.StoredAnswer:
-        claim = self._inner.take(*args)
+    def claim(self, *args: typing.Any) -> claims.Claim | claims.StoredAnswer:
+        claim = self._inner.claim(*args)
         self.paused.set()
         self.woken.wait(site.WAIT_S)
         return claim
 
-    def mark(self, claim: claims.Claim, state: str) -> None:
-        self._inner.mark(claim, state)
+    def write_state(self, claim: claims.Claim, state: str) -> None:
+        self._inner.write_state(claim, state)
 
 
 def test_a_holder_that_wakes_up_after_its_deadline_does_not_run_the_call() -> None:
@@ -323,11 +323,11 @@
 
     case.holders[0]._objects = typing.cast(typing.Any, Objects())
     deadline = case.clock.now() + 5
-    claim = case.holders[0].take("demo", "id", "d", deadline)
+    claim = case.holders[0].claim("demo", "id", "d", deadline)
     assert isinstance(claim, claims.Claim)
     body = b"x" * (claims.MAX_ROW_ANSWER + 1)
     case.holders[0].finish(claim, 200, "text/plain", body)
-    stored = case.holders[0].take("demo", "id", "d", deadline)
+    stored = case.holders[0].claim("demo", "id", "d", deadline)
     case.stop()
     assert stored == claims.StoredAnswer(200, "text/plain", body)
 
--- a/gaprock/test/testconfig.py
+++ b/gaprock/test/testconfig.py
@@ -104,7 +104,7 @@
         run = agent_run.Run(
             b"e", start, lambda p, m: self.posted.append(m), clock.Clock()
         )
-        self.gate.take(run)
+        self.gate.submit(run)
         executor = getattr(self.gate, "_executor")
         executor.submit(lambda: None).result()
         site.wait_until(lambda: self.ran or self.posted, "an outcome")
@@ -282,7 +282,7 @@
     if not unknown:
         assert in_table == outcome
     table.faults.clear()
-    table.land()
+    table.apply_late()
     # A delayed attempt must not take effect in addition to an earlier one.
     assert table.row(config_store.HEAD).version <= 1
     if not unknown:
--- a/gaprock/test/testdepartures.py
+++ b/gaprock/test/testdepartures.py
@@ -267,7 +267,7 @@
     late = fleetcase.Member(fleet, "h0", 99)
     late.directory.update("e", row())
     fleet.join(late)
-    late.mesh.found(
+    late.mesh.add_addresses(
         [mesh_members.PeerAddress(m.address, m.hall) for m in fleet.members[:-1]]
     )
     one = late.directory._endpoints["e"]
--- a/gaprock/test/testemptied.py
+++ b/gaprock/test/testemptied.py
@@ -107,7 +107,7 @@
     for hall in halls:
         site.store.put("op", f"evacuate/{hall}", {})
     gatewaysite.wait_until(
-        lambda: site.gateway.directory.emptied == frozenset(halls), "emptied"
+        lambda: site.gateway.directory.cordoned == frozenset(halls), "emptied"
     )
 
 
@@ -124,7 +124,7 @@
         assert len(left.seen) >= 6
         assert not gone.seen
         site.store.remove("op", "evacuate/h1")
-        gatewaysite.wait_until(lambda: not site.gateway.directory.emptied, "back")
+        gatewaysite.wait_until(lambda: not site.gateway.directory.cordoned, "back")
         for _ in range(12):
             assert site.generate().status == 200
         assert gone.seen
--- a/gaprock/test/testepochs.py
+++ b/gaprock/test/testepochs.py
@@ -326,7 +326,9 @@
         gatewaysite.wait_until(
             lambda: one.kept.values == {"a": b"29"}, "the table is known"
         )
-        gatewaysite.wait_until(lambda: rowcase.TABLE in store.waiting, "a poll waits")
+        gatewaysite.wait_until(
+            lambda: rowcase.TABLE in store.open_polls, "a poll waits"
+        )
         exchange = row_exchange.RowExchange(
             [LoneMember().follower, follower], follower._clock, follower._epochs
         )
--- a/gaprock/test/testfreshness.py
+++ b/gaprock/test/testfreshness.py
@@ -26,7 +26,7 @@
     is_taken: typing.Callable[[], bool],
 ) -> None:
     """Have a change answer a table's poll, and the store never answer the next one."""
-    gatewaysite.wait_until(lambda: table in store.waiting, "a poll waits")
+    gatewaysite.wait_until(lambda: table in store.open_polls, "a poll waits")
     store.faults["swallow"] = True
     change()
     gatewaysite.wait_until(is_taken, "the poll is answered")
--- a/gaprock/test/testhalls.py
+++ b/gaprock/test/testhalls.py
@@ -145,7 +145,7 @@
 
     assert fleet.run(2.0, is_known) <= TOLD_S
     # Once it answers again, the report is withdrawn.
-    finder.directory.heard(finder.directory._endpoints["e0"])
+    finder.directory.record_seen(finder.directory._endpoints["e0"])
 
     def is_forgotten() -> bool:
         return not any(m.directory._endpoints["e0"].suspected_by for m in fleet.members)
@@ -286,11 +286,11 @@
         member.directory.begin(member.directory._endpoints["e1"], prompt)
     watcher = fleet.hall("h0")[-1].directory._endpoints["e1"]
     fleet.run(2.0)
-    assert watcher.load == 4 and watcher.backlog.told == 2000
+    assert watcher.load == 4 and watcher.backlog.outstanding == 2000
     for member in fleet.hall("h1"):
         member.is_dead = True
     fleet.run(mesh_halls.SUMMARY_TIMEOUT_S + PASSED_S)
-    assert watcher.load == 0 and watcher.backlog.told == 0
+    assert watcher.load == 0 and watcher.backlog.outstanding == 0
 
 
 def news(
@@ -306,14 +306,14 @@
 def test_summaries_are_ordered_by_age_whoever_sends_them() -> None:
     fleet = fleetcase.Fleet(1, 1)
     book, now = fleet.members[0].mesh.halls, fleet.time.now()
-    book.take(news(0.5, 3), now, False)
+    book.record(news(0.5, 3), now, False)
     # An older one that arrives later, by another path.
-    book.take(news(1.0, 9), now + 0.1, True)
+    book.record(news(1.0, 9), now + 0.1, True)
     assert book.members() == 3 and book.on_old("llm") == 3
-    book.take(news(0.1, 4), now + 0.1, True)
+    book.record(news(0.1, 4), now + 0.1, True)
     assert book.members() == 4
-    book.take(news(mesh_halls.SUMMARY_TIMEOUT_S + 0.1, 7, "h3"), now, False)
-    book.take(news(0.0, 8, "h0"), now, False)
+    book.record(news(mesh_halls.SUMMARY_TIMEOUT_S + 0.1, 7, "h3"), now, False)
+    book.record(news(0.0, 8, "h0"), now, False)
     assert book.members() == 4
     book.forget_silent(now + mesh_halls.SUMMARY_TIMEOUT_S + 0.1)
     assert book.members() == 0
@@ -322,15 +322,15 @@
 def test_a_summary_goes_around_once_unless_it_changes_what_all_must_know() -> None:
     fleet = fleetcase.Fleet(1, 1)
     book, now = fleet.members[0].mesh.halls, fleet.time.now()
-    book.take(news(0.0, 3), now, False)
+    book.record(news(0.0, 3), now, False)
     assert [n.members for n in book.summaries_to_forward(now + 0.2)] == [3]
     assert [n.age_s for n in book.summaries_to_forward(now + 0.2)] == []
-    book.take(news(0.0, 4), now + 0.3, False)
+    book.record(news(0.0, 4), now + 0.3, False)
     assert book.summaries_to_forward(now + 0.3) == []
-    book.take(news(0.0, 4, halted=True), now + 0.4, False)
+    book.record(news(0.0, 4, halted=True), now + 0.4, False)
     assert [n.members for n in book.summaries_to_forward(now + 0.4)] == [4]
     # Another relay has forwarded a newer one.
-    book.take(news(0.0, 5), now + 1.3, True)
+    book.record(news(0.0, 5), now + 1.3, True)
     assert book.summaries_to_forward(now + 1.3) == []
 
 
@@ -360,7 +360,7 @@
     taken = 0
     for member in fleet.members:
         budget = retry_window.RetryWindow(0.5, 35.0, 10.0, member.mesh.peak_gateways)
-        taken += sum(budget.take("s", fleet.time.now()) for _ in range(50))
+        taken += sum(budget.spend("s", fleet.time.now()) for _ in range(50))
     assert 0 < taken <= 35
 
 
--- a/gaprock/test/testlimits.py
+++ b/gaprock/test/testlimits.py
@@ -284,7 +284,7 @@
     fleet.run(1.0)
     late = fleetcase.Member(fleet, "h0", 99)
     fleet.join(late)
-    late.mesh.found(
+    late.mesh.add_addresses(
         [mesh_members.PeerAddress(m.address, m.hall) for m in fleet.members[:-1]]
     )
     fleet.run(2.0, until=lambda: limits_of(fleet, one.incarnation) == {2.4})
--- a/gaprock/test/testmechanisms.py
+++ b/gaprock/test/testmechanisms.py
@@ -88,5 +88,5 @@
     mechanisms.switch_off(["told-loads", "told-prompts"])
     book.apply_peer_loads("other", {"a": endpoint_state.Load(2, 300.0)})
     book.apply_peer_prompts([("a", hashes)])
-    assert (endpoint.load, endpoint.backlog.told) == (0, 0.0)
+    assert (endpoint.load, endpoint.backlog.outstanding) == (0, 0.0)
     assert endpoint.cache.cached(hashes) == 0
--- a/gaprock/test/testownpoison.py
+++ b/gaprock/test/testownpoison.py
@@ -83,7 +83,7 @@
         fingerprint = 7
         incarnations = {incarnation: quarantine.BEGUN_WEIGHT for incarnation in "abc"}
         for incarnation, weight in incarnations.items():
-            s.entries[0].quarantine.note(fingerprint, incarnation, weight)
+            s.entries[0].quarantine.record_crash(fingerprint, incarnation, weight)
         threading.Event().wait(0.3)
         late = s.start_entry()
         site.wait_until(
@@ -102,7 +102,7 @@
             b'{"model": "explain", "messages": [{"role": "user", "content": "why?"}], '
             b'"stream": false}',
         )
-        book.note(call.mark, "a", quarantine.BEGUN_WEIGHT)
-        assert book.is_suspected(call.mark)
+        book.record_crash(call.fingerprint, "a", quarantine.BEGUN_WEIGHT)
+        assert book.is_suspected(call.fingerprint)
         assert s.chat(0).status == 200
-        assert not book.is_suspected(call.mark)
+        assert not book.is_suspected(call.fingerprint)
--- a/gaprock/test/testpoison.py
+++ b/gaprock/test/testpoison.py
@@ -35,7 +35,7 @@
 def hold(site: gatewaysite.GatewaySite, fingerprint: int) -> None:
     """Report to a gateway that a request crashed three endpoints."""
     incarnations = {incarnation: quarantine.BEGUN_WEIGHT for incarnation in "abc"}
-    site.gateway.quarantine.take(
+    site.gateway.quarantine.merge(
         [quarantine.SuspectUpdate(fingerprint, incarnations)], is_far=False
     )
 
@@ -120,7 +120,7 @@
 def test_a_try_of_a_suspected_request_waits_for_the_one_before_it() -> None:
     with gatewaysite.GatewaySite() as site:
         fake = site.add("one", "app")
-        site.gateway.quarantine.note(
+        site.gateway.quarantine.record_crash(
             fingerprint_of("/safe/x", b""), "a", quarantine.BEGUN_WEIGHT
         )
         fake.default_script = backend.hang
--- a/gaprock/test/testprompts.py
+++ b/gaprock/test/testprompts.py
@@ -78,7 +78,7 @@
     # A prompt that is still being read is not in the cache yet.
     assert endpoint.cache.cached(hashes) == 0
     assert local.prompts_since(0) == (0, [])
-    local.read(endpoint, prompt)
+    local.record_prefilled(endpoint, prompt)
     count, told = local.prompts_since(0)
     peer.apply_peer_prompts(told)
     assert peer.usable("app", set())[0].cache.cached(hashes) == 1000
@@ -90,7 +90,7 @@
     endpoint = local.usable("app", set())[0]
     for number in range(directory_peers.TOLD_PROMPTS + 5):
         hashes = prefix_cache.prefix_hashes("m", [(str(number), 1)])
-        local.read(endpoint, endpoint_state.Prompt(1.0, hashes))
+        local.record_prefilled(endpoint, endpoint_state.Prompt(1.0, hashes))
     count, told = local.prompts_since(0)
     assert (count, len(told)) == (
         directory_peers.TOLD_PROMPTS + 5,
@@ -104,8 +104,8 @@
     endpoint = local.usable("app", set())[0]
     prompt = endpoint_state.Prompt(900.0, prefix_cache.prefix_hashes("m", PARTS))
     local.begin(endpoint, prompt)
-    local.drop(endpoint, prompt)
-    assert endpoint.backlog.told == 0.0
+    local.discard_prompt(endpoint, prompt)
+    assert endpoint.backlog.outstanding == 0.0
     assert endpoint.cache.cached(prompt.hashes) == 0
 
 
--- a/gaprock/test/testquarantine.py
+++ b/gaprock/test/testquarantine.py
@@ -30,7 +30,7 @@
 def end_three(book: quarantine.Quarantine, fingerprint: int = FINGERPRINT) -> None:
     """Record a request that had just started at three crashes."""
     for incarnation in "abc":
-        book.note(fingerprint, incarnation, BEGUN)
+        book.record_crash(fingerprint, incarnation, BEGUN)
 
 
 @pytest.mark.parametrize(
@@ -49,20 +49,20 @@
 ) -> None:
     for number, weight in enumerate(weights):
         assert not book.held_for_s(FINGERPRINT)
-        book.note(FINGERPRINT, f"life-{number}", weight)
+        book.record_crash(FINGERPRINT, f"life-{number}", weight)
     assert bool(book.held_for_s(FINGERPRINT)) is is_held
     assert not book.held_for_s(FINGERPRINT + 1)
 
 
 def test_one_crash_counts_once_whoever_reports_it(book: quarantine.Quarantine) -> None:
     for _ in range(9):
-        book.note(FINGERPRINT, "a", BEGUN)
-        book.take([quarantine.SuspectUpdate(FINGERPRINT, {"a": BEGUN})], is_far=False)
+        book.record_crash(FINGERPRINT, "a", BEGUN)
+        book.merge([quarantine.SuspectUpdate(FINGERPRINT, {"a": BEGUN})], is_far=False)
     assert book.is_suspected(FINGERPRINT) and not book.held_for_s(FINGERPRINT)
     # A higher weight for the same crash replaces the lower one.
-    book.note(FINGERPRINT, "b", OPEN)
-    book.note(FINGERPRINT, "b", BEGUN)
-    book.note(FINGERPRINT, "c", BEGUN)
+    book.record_crash(FINGERPRINT, "b", OPEN)
+    book.record_crash(FINGERPRINT, "b", BEGUN)
+    book.record_crash(FINGERPRINT, "c", BEGUN)
     assert book.held_for_s(FINGERPRINT)
 
 
@@ -70,16 +70,16 @@
     book: quarantine.Quarantine, time: clock.ManualClock
 ) -> None:
     end_three(book)
-    updates = book.news(OWN, include_held=True)
+    updates = book.updates(OWN, include_held=True)
     book.clear(FINGERPRINT)
     assert not book.held_for_s(FINGERPRINT) and not book.is_suspected(FINGERPRINT)
-    book.take(updates, is_far=False)
+    book.merge(updates, is_far=False)
     assert not book.held_for_s(FINGERPRINT)
     # Another gateway learns that the request was cleared.
     other = quarantine.Quarantine(time)
-    other.take(updates, is_far=False)
+    other.merge(updates, is_far=False)
     assert other.held_for_s(FINGERPRINT)
-    other.take(book.news(OWN, include_held=False), is_far=False)
+    other.merge(book.updates(OWN, include_held=False), is_far=False)
     assert not other.held_for_s(FINGERPRINT)
     time.advance(quarantine.CLEARED_S)
     end_three(book)
@@ -95,26 +95,26 @@
     assert 0.0 < book.held_for_s(FINGERPRINT) <= 1.0
     # A gateway that learns of it only now holds it no longer than this one does.
     other = quarantine.Quarantine(time)
-    other.take(book.news(OWN, include_held=True), is_far=True)
+    other.merge(book.updates(OWN, include_held=True), is_far=True)
     time.advance(1.1)
     for one in (book, other):
         one.forget_old()
         assert not one.held_for_s(FINGERPRINT)
-        one.note(FINGERPRINT, "later", BEGUN)
+        one.record_crash(FINGERPRINT, "later", BEGUN)
         assert one.held_for_s(FINGERPRINT) == pytest.approx(quarantine.HELD_S)
 
 
 def test_suspicion_is_forgotten_and_bounded(
     book: quarantine.Quarantine, time: clock.ManualClock
 ) -> None:
-    assert book.is_empty and book.news(OWN, include_held=True) == []
+    assert book.is_empty and book.updates(OWN, include_held=True) == []
     end_three(book)
     for fingerprint in range(1000, 1000 + quarantine.MAX_SUSPECTS + 50):
-        book.note(fingerprint, "a", OPEN)
+        book.record_crash(fingerprint, "a", OPEN)
     # A held request outlives newer ones that are not held.
     assert book.held_for_s(FINGERPRINT) and not book.is_suspected(1000)
     assert len(book._suspects) <= quarantine.MAX_SUSPECTS
-    assert len(book.news(OWN, include_held=True)) == quarantine.MAX_UPDATES
+    assert len(book.updates(OWN, include_held=True)) == quarantine.MAX_UPDATES
     time.advance(quarantine.SUSPECT_RETENTION_S + 1.0)
     book.forget_old()
     assert book.held_count == len(book._suspects) == 1
@@ -144,15 +144,15 @@
     books = [quarantine.Quarantine(time) for _ in range(3)]
     most: dict[str, int] = {}
     for who, incarnation, weight in ends:
-        books[who].note(FINGERPRINT, incarnation, weight)
+        books[who].record_crash(FINGERPRINT, incarnation, weight)
         most[incarnation] = max(weight, most.get(incarnation, 0))
         if rng.random() < 0.5:
-            updates = books[rng.randrange(3)].news(tuple(quarantine.Origin), False)
-            books[rng.randrange(3)].take(updates, is_far=rng.random() < 0.5)
+            updates = books[rng.randrange(3)].updates(tuple(quarantine.Origin), False)
+            books[rng.randrange(3)].merge(updates, is_far=rng.random() < 0.5)
     for _ in range(2):
         for one in books:
             for other in books:
-                other.take(one.news(tuple(quarantine.Origin), True), is_far=False)
+                other.merge(one.updates(tuple(quarantine.Origin), True), is_far=False)
     is_held = sum(most.values()) >= quarantine.HELD_WEIGHT
     assert [bool(one.held_for_s(FINGERPRINT)) for one in books] == [is_held] * 3
 
@@ -267,7 +267,7 @@
             begun_s = now - begins_at if begins_at <= now else -1.0
             weight = quarantine.suspicion_weight(begun_s, may_wait=True)
             if weight:
-                self.book.note(fingerprint, incarnation, weight)
+                self.book.record_crash(fingerprint, incarnation, weight)
             if tries < 3 and fingerprint != FINGERPRINT:
                 self._send(fingerprint, tries + 1)
 
@@ -394,7 +394,7 @@
         self.back_at[where] = now + self.BACK_S
         cut, self.open[where] = self.open[where], {}
         for fingerprint, tries in cut.items():
-            self.book.note(
+            self.book.record_crash(
                 fingerprint,
                 incarnation,
                 quarantine.suspicion_weight(-1.0, may_wait=False),
@@ -448,7 +448,7 @@
         fleet.members[len(fleet.members) // 2],
     ]
     for member, incarnation in zip(seen_by, "abc", strict=True):
-        member.quarantine.note(FINGERPRINT, incarnation, BEGUN)
+        member.quarantine.record_crash(FINGERPRINT, incarnation, BEGUN)
     assert fleet.run(3.0, lambda: know_all(fleet)) < 1.5
 
 
@@ -505,13 +505,13 @@
 def test_heartbeats_carry_bounded_updates_and_none_without_suspects() -> None:
     """A heartbeat stays below 4 KB with 64 held requests and their crashes."""
     time = clock.ManualClock(100.0)
-    calm = beat_with(quarantine.Quarantine(time).news(OWN, True))
+    calm = beat_with(quarantine.Quarantine(time).updates(OWN, True))
     full = quarantine.Quarantine(time)
     for fingerprint in range(500):
         end_three(full, 2**63 + fingerprint)
-    worst = beat_with(full.news(OWN, True))
+    worst = beat_with(full.updates(OWN, True))
     time.advance(quarantine.CHANGE_RESEND_S)
-    later = beat_with(full.news(OWN, True))
+    later = beat_with(full.updates(OWN, True))
     assert len(calm) < 70
     assert len(worst) < 4096
     assert len(later) < 1500
--- a/gaprock/test/testreborn.py
+++ b/gaprock/test/testreborn.py
@@ -44,11 +44,11 @@
     """Make all state of an endpoint differ from that of a new one."""
     old = only(book)
     book.begin(old, PROMPT)
-    book.read(old, PROMPT)
-    book.heard(old)
+    book.record_prefilled(old, PROMPT)
+    book.record_seen(old)
     book.begin(old, PROMPT)
     for _ in range(8):
-        book.answered(old, failed=True)
+        book.record_answer(old, failed=True)
     book.eject(old, "no connection")
     book.apply_peer_loads("other", {old.incarnation: endpoint_state.Load(3, 900.0)})
     book.apply_peer_unreachable("other", [old.incarnation])
@@ -57,11 +57,11 @@
 
 def state_of(endpoint: endpoint_state.Endpoint) -> dict[str, object]:
     """Return the state of an endpoint except its row and incarnation."""
-    left_out = {"row", "backlog", "cache", "is_over"}
+    left_out = {"row", "backlog", "cache", "has_ended"}
     slots = [slot for slot in endpoint.__slots__ if slot not in left_out]
     found = {slot: getattr(endpoint, slot) for slot in slots}
     return found | {
-        "unread": endpoint.backlog.told,
+        "unread": endpoint.backlog.outstanding,
         "kept": endpoint.cache.cached(MARKS),
     }
 
@@ -77,11 +77,11 @@
         new = only(book)
         fresh = endpoint_state.Endpoint("e", row(born, **change))
         assert state_of(new) == state_of(fresh)
-        assert old.is_over and not new.is_over
+        assert old.has_ended and not new.has_ended
     # Requests in flight end at the old one, and do not change the new one.
-    book.drop(old, PROMPT)
+    book.discard_prompt(old, PROMPT)
     book.end(old)
-    book.answered(old, failed=True)
+    book.record_answer(old, failed=True)
     assert state_of(only(book)) == state_of(fresh)
 
 
@@ -103,7 +103,7 @@
 def test_gossip_names_the_incarnation(book: directory.Directory) -> None:
     one = only(book)
     book.begin(one, PROMPT)
-    book.read(one, PROMPT)
+    book.record_prefilled(one, PROMPT)
     book.eject(one, "no connection")
     assert (
         list(book.own_loads())
--- a/gaprock/test/testrouting.py
+++ b/gaprock/test/testrouting.py
@@ -90,7 +90,7 @@
         if is_first:
             fleet[number].record_first("s", now)
             firsts.append(now)
-        elif fleet[number].take("s", now):
+        elif fleet[number].spend("s", now):
             repeats.append(now)
         recent = [t for t in repeats if t >= now - window_s]
         counted = [t for t in firsts if t >= now - window_s]
@@ -101,16 +101,16 @@
 
 def test_the_allowance_of_the_fleet_is_shared() -> None:
     fleet = [retry_window.RetryWindow(0.5, 9.0, 5.0, lambda: 3) for _ in range(3)]
-    taken = sum(member.take("s", 1.0) for member in fleet for _ in range(20))
+    taken = sum(member.spend("s", 1.0) for member in fleet for _ in range(20))
     assert 0 < taken <= 9
 
 
 def test_a_gateway_without_a_member_count_gets_no_allowance() -> None:
     budget = retry_window.RetryWindow(0.5, 9.0, 5.0, lambda: 0)
-    assert not budget.take("s", 1.0)
+    assert not budget.spend("s", 1.0)
     for _ in range(10):
         budget.record_first("s", 1.0)
-    assert budget.take("s", 1.0)
+    assert budget.spend("s", 1.0)
 
 
 def row(version: str = "v1", draining: bool = False) -> gateway_api.EndpointRow:
@@ -179,7 +179,7 @@
     directory_.end(endpoint)
     assert not directory_.is_ejected(endpoint, time.now())
     directory_.begin(endpoint, endpoint_state.Prompt(0.0, []))
-    directory_.answered(endpoint, failed=False)
+    directory_.record_answer(endpoint, failed=False)
     assert not endpoint.ejected_until
 
 
@@ -190,8 +190,8 @@
     directory_.replace({"a": row(), "b": row()})
     failing, healthy = directory_.usable("app", set())
     for step in range(30):
-        directory_.answered(failing, failed=step % 2 == 0)
-        directory_.answered(healthy, failed=False)
+        directory_.record_answer(failing, failed=step % 2 == 0)
+        directory_.record_answer(healthy, failed=False)
     assert directory_.is_ejected(failing, time.now())
     assert not directory_.is_ejected(healthy, time.now())
 
@@ -206,7 +206,7 @@
     directory_.apply_peer_unreachable("other", [first.name, second.name])
     assert first.is_suspected and second.is_suspected
     time.advance(0.1)
-    directory_.heard(first)
+    directory_.record_seen(first)
     directory_.apply_peer_unreachable("other", [first.name, second.name])
     assert not first.is_suspected and second.is_suspected
     directory_.apply_peer_unreachable("other", [])
@@ -223,12 +223,12 @@
     endpoint = directory_.usable("app", set())[0]
     directory_.begin(endpoint, endpoint_state.Prompt(500.0, []))
     directory_.apply_peer_loads("other", {"a": endpoint_state.Load(2, 300.0)})
-    assert (endpoint.load, endpoint.backlog.told) == (3, 800.0)
+    assert (endpoint.load, endpoint.backlog.outstanding) == (3, 800.0)
     assert directory_.unread(endpoint) == 800.0
-    directory_.read(endpoint, endpoint_state.Prompt(500.0, []))
+    directory_.record_prefilled(endpoint, endpoint_state.Prompt(500.0, []))
     directory_.end(endpoint)
     directory_.apply_peer_loads("other", {})
-    assert (endpoint.load, endpoint.backlog.told) == (0, 0.0)
+    assert (endpoint.load, endpoint.backlog.outstanding) == (0, 0.0)
     assert directory_.unread(endpoint) == 0.0
 
 
@@ -301,7 +301,7 @@
 def test_a_backlog_falls_with_time_but_not_to_zero() -> None:
     waiting = backlog.Backlog()
     waiting.add(1000.0, 10.0)
-    waiting.take("other", 500.0, 10.0)
+    waiting.record_peer("other", 500.0, 10.0)
     read_s = backlog.READING_SHARE * 100.0
     assert waiting.left(10.0, 100.0) == 1500.0
     assert waiting.left(15.0, 100.0) == 1500.0 - 5.0 * read_s
@@ -309,7 +309,7 @@
     # Once a prompt was read, the others count as unread in full again.
     waiting.remove(1000.0, 99.0)
     assert waiting.left(99.0, 100.0) == 500.0
-    waiting.take("other", 0.0, 100.0)
+    waiting.record_peer("other", 0.0, 100.0)
     assert waiting.left(100.0, 100.0) == 0.0
 
 
--- a/gaprock/test/teststreams.py
+++ b/gaprock/test/teststreams.py
@@ -58,7 +58,7 @@
     taken = b""
     complete = False
     try:
-        while data := attempt.take(0.0, clock.Clock()):
+        while data := attempt.read(0.0, clock.Clock()):
             taken += data
         complete = True
     except errors.GaprockError as exc:
@@ -96,13 +96,13 @@
 ) -> None:
     lossy_link = LossyLink(PARTS, losses)
     for number in range(PARTS):
-        lossy_link.run.give(bytes([number]), 1)
+        lossy_link.run.post_parts(bytes([number]), 1)
     lossy_link.run.finish(end_of(PARTS))
     while lossy_link.losses:
         lossy_link.run.resend(lossy_link.attempt.next_part)
     lossy_link.run.resend(lossy_link.attempt.next_part)
-    assert lossy_link.attempt.take(0.0, clock.Clock()) == bytes(range(PARTS))
-    assert lossy_link.attempt.take(0.0, clock.Clock()) == b""
+    assert lossy_link.attempt.read(0.0, clock.Clock()) == bytes(range(PARTS))
+    assert lossy_link.attempt.read(0.0, clock.Clock()) == b""
 
 
 def test_a_slow_reader_limits_what_is_in_flight_and_holds_up_nobody() -> None:
@@ -239,5 +239,5 @@
     attempt.deliver(messages.Part(1, 0, 1, b"x"))
     attempt.finish(end_of(1))
     attempt.fail(errors.GaprockError(errorcodes.STREAM_CUT))
-    assert attempt.take(0.0, clock.Clock()) == b"x"
-    assert attempt.take(0.0, clock.Clock()) == b""
+    assert attempt.read(0.0, clock.Clock()) == b"x"
+    assert attempt.read(0.0, clock.Clock()) == b""
--- a/gaprock/test/testsuspended.py
+++ b/gaprock/test/testsuspended.py
@@ -68,12 +68,12 @@
     steady, monotonic = clock.SteadyClock(), clock.MonotonicClock()
     detector = clock.GapDetector(steady, 60.0)
     before, before_monotonic = steady.now(), monotonic.now()
-    assert detector.look() == []
+    assert detector.find_gaps() == []
     clocks.suspend(20.0)
     assert steady.now() - before >= 20.0 > monotonic.now() - before_monotonic
-    (gap,) = detector.look()
+    (gap,) = detector.find_gaps()
     assert gap.kind == clock.SUSPENDED and gap.length_s == pytest.approx(20.0, abs=0.1)
-    assert detector.look() == []
+    assert detector.find_gaps() == []
 
 
 def test_a_process_that_stood_still_differs_from_a_suspended_machine() -> None:
@@ -81,9 +81,9 @@
     detector = clock.GapDetector(steady, 1.0, monotonic)
     for one in (steady, monotonic):
         one.advance(5.0)
-    assert detector.look() == [clock.Gap(clock.STOOD_STILL, 4.0)]
+    assert detector.find_gaps() == [clock.Gap(clock.STOOD_STILL, 4.0)]
     steady.advance(3.0)
-    assert detector.look() == [clock.Gap(clock.SUSPENDED, 3.0)]
+    assert detector.find_gaps() == [clock.Gap(clock.SUSPENDED, 3.0)]
 
 
 @pytest.mark.parametrize(
--- a/gaprock/test/testwarmup.py
+++ b/gaprock/test/testwarmup.py
@@ -162,7 +162,7 @@
     if by == "us":
         book.directory.eject(book.endpoint, "dark")
         book.time.advance(6.0)
-        book.directory.answered(book.endpoint, failed=False)
+        book.directory.record_answer(book.endpoint, failed=False)
     elif by == "others":
         book.directory.apply_peer_unreachable("gw-2", {book.endpoint.incarnation})
         book.time.advance(6.0)
@@ -188,10 +188,10 @@
 
 def test_the_most_that_were_seen_are_remembered_and_forgotten() -> None:
     most = mesh_members.RecentPeak(600.0)
-    most.note(21, 100.0)
-    most.note(3, 800.0)
+    most.record(21, 100.0)
+    most.record(3, 800.0)
     assert most.value == 21
-    most.note(3, 1500.0)
+    most.record(3, 1500.0)
     assert most.value == 3
 
 
--- a/misc/proofs_gateway_endpoints.py
+++ b/misc/proofs_gateway_endpoints.py
@@ -32,8 +32,8 @@
         "a prompt is kept only once it was read",
         "testprompts.py::test_prompts_are_reported_to_other_gateways_once",
         "directory.py",
-        "            endpoint.backlog.add(prompt.reading, now)\n",
-        "            endpoint.backlog.add(prompt.reading, now)\n"
+        "            endpoint.backlog.add(prompt.prefill_tokens, now)\n",
+        "            endpoint.backlog.add(prompt.prefill_tokens, now)\n"
         "            self._use(endpoint, prompt.hashes)\n",
     ),
     proofs.gateway(
--- a/misc/proofs_gateway_mesh.py
+++ b/misc/proofs_gateway_mesh.py
@@ -113,7 +113,7 @@
         "testpoison.py::test_a_poison_request_ends_three_endpoints_whichever_gateways"
         "_it_comes_through",
         "mesh.py",
-        "        self._quarantine.take(beat.suspects, self._is_far(peer))\n",
+        "        self._quarantine.merge(beat.suspects, self._is_far(peer))\n",
     ),
     proofs.gateway(
         "carriers pass on what is held",
@@ -136,7 +136,7 @@
         "agents pass on what entries hold",
         "testownpoison.py::test_an_entry_that_starts_later_hears_what_is_held",
         "agent_hub.py",
-        "        self._quarantine.take(msg.suspects, is_far=False)\n",
+        "        self._quarantine.merge(msg.suspects, is_far=False)\n",
     ),
     proofs.gateway(
         "all gateways hear of a limit",
--- a/misc/proofs_gateway_requests.py
+++ b/misc/proofs_gateway_requests.py
@@ -102,7 +102,7 @@
         "testpoison.py::test_answers_that_break_off_at_living_endpoints_speak_against"
         "_nobody",
         "gateway_sender.py",
-        "        if lives:\n            self._gate.lives(endpoint)\n"
+        "        if lives:\n            self._gate.record_alive(endpoint)\n"
         "        elif weight:\n",
         "        endpoint.is_unreachable = True\n        if weight:\n",
     ),
