--- a/gaprock/eventlog.py
+++ b/gaprock/eventlog.py
@@ -120,7 +120,7 @@
     return text if BARE_VALUE.match(text) else json.dumps(text)
 
 
-def json_text(text: str) -> str:
+def json_string(text: str) -> str:
     """Return a text as a JSON string."""
     return json.dumps(text)
 
--- a/gaprock/gateway_serve.py
+++ b/gaprock/gateway_serve.py
@@ -341,7 +341,7 @@
         self, reply: gateway_call.Reply, exc: gateway_call.CallError
     ) -> None:
         text = errors.explain(exc.code, exc.detail)
-        body = f'{{"code": {exc.code.number}, "message": {eventlog.json_text(text)}}}'
+        body = f'{{"code": {exc.code.number}, "message": {eventlog.json_string(text)}}}'
         headers = [JSON_TYPE, *self._dialect.refusal_headers(exc.retry_after_s)]
         try:
             reply.whole(exc.code.http_status, headers, body.encode())
