--- a/misc/ablate.py
+++ b/misc/ablate.py
@@ -1,10 +1,10 @@
-"""Plays days with each mechanism switched off, against all on.
+"""Compares the system with and without each mechanism, on the same days.
 
     python -m misc.ablate PAIRED BENCH SITE --folder DIR [--seeds N] [NAME...]
 
 ``PAIRED`` is the users' tool that plays the same days and seeds on several checkouts.
-A checkout for each mechanism is made in ``DIR``, which differs in its deploy file
-alone; the table comes from the tool.
+For each mechanism, a checkout is made in ``DIR`` in which the mechanism is switched
+off; the checkouts differ only in their deploy file.  The tool prints the table.
 """
 
 import argparse
@@ -19,27 +19,32 @@
 ROOT: typing.Final = pathlib.Path(__file__).parent.parent
 DEPLOY: typing.Final = "deploy/system.toml"
 PROGRAM: typing.Final = "gaprock.gateway_main"
-LEFT_OUT: typing.Final = shutil.ignore_patterns(
+IGNORED: typing.Final = shutil.ignore_patterns(
     ".git", ".venv*", "journal", "target", "__pycache__", ".*_cache", ".hypothesis"
 )
 
 
 def make_checkout(folder: pathlib.Path, without: str) -> pathlib.Path:
-    """Make a checkout; an empty text leaves everything on."""
-    place = folder / (f"without-{without}" if without else "all-on")
-    shutil.rmtree(place, ignore_errors=True)
-    shutil.copytree(ROOT, place, ignore=LEFT_OUT)
-    (place / "journal").mkdir()
+    """Make a checkout and return its path.
+
+    :param without: the mechanism to switch off; empty for none.
+    """
+    checkout = folder / (f"without-{without}" if without else "all-on")
+    shutil.rmtree(checkout, ignore_errors=True)
+    shutil.copytree(ROOT, checkout, ignore=IGNORED)
+    (checkout / "journal").mkdir()
     if without:
-        deploy = place / DEPLOY
+        deploy = checkout / DEPLOY
         text = deploy.read_text()
         deploy.write_text(text.replace(PROGRAM, f"{PROGRAM} --without {without}"))
-    return place
+    return checkout
 
 
 def main() -> int:
-    """Make the checkouts and play."""
-    parser = argparse.ArgumentParser(description="What each mechanism is worth.")
+    """Make the checkouts and run the tool."""
+    parser = argparse.ArgumentParser(
+        description="Measures the effect of each mechanism."
+    )
     parser.add_argument("paired")
     parser.add_argument("bench")
     parser.add_argument("site")
@@ -50,11 +55,11 @@
     parser.add_argument("--jobs", type=int, default=5)
     args = parser.parse_args()
     names = args.names or list(mechanisms.by_name)
-    places = [make_checkout(args.folder, name) for name in ["", *names]]
+    checkouts = [make_checkout(args.folder, name) for name in ["", *names]]
     command = [args.paired, "--bench", args.bench, "--site", args.site]
     command += ["--seeds", str(args.seeds), "--jobs", str(args.jobs)]
     command += ["--first-seed", str(args.first_seed), "--why", "ablation"]
-    return subprocess.run([*command, *map(str, places)], check=False).returncode
+    return subprocess.run([*command, *map(str, checkouts)], check=False).returncode
 
 
 if __name__ == "__main__":
--- a/misc/demo.py
+++ b/misc/demo.py
@@ -1,8 +1,8 @@
-"""The demonstration: the whole path, with every program as a process of its own.
+"""The demonstration: a deployment with every program as a process of its own.
 
 It starts the stand-ins, two entries and three agents, publishes with the
 ``gaprock`` command, sends a streamed request, a session of three requests and a
-score that may not be repeated, prints answers, codes and bill rows, and stops.
+call that may not be repeated, prints answers, status codes and bill rows, and stops.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 
 
 def start(fleet: processes.Fleet) -> list[str]:
-    """Start all programs and give the addresses of the entries."""
+    """Start all programs and return the addresses of the entries."""
     fleet.start_platform()
     for name in "abc":
         fleet.start_agent(name, service=name == "a")
@@ -27,7 +27,7 @@
 
 
 def publish(fleet: processes.Fleet, entry: str) -> None:
-    """Publish with the command line, as an operator does."""
+    """Publish the documents with the command line, as an operator does."""
     for kind, document in processes.demo_documents():
         print(f"$ gaprock {kind} publish -")
         code = fleet.command(entry, kind, "publish", "-", document=document)
@@ -43,7 +43,7 @@
 
 
 def hold_session(entries: list[str]) -> None:
-    """Open a session and send three requests over both entries."""
+    """Open a session and send three requests in it through both entries."""
     print("-- a session of three requests, over both entries")
     resp = processes.post(entries[0], "/v1/sessions", {"template": "explain"})
     token = json.loads(resp.data)["session"]
@@ -58,7 +58,7 @@
 
 
 def score(entries: list[str]) -> None:
-    """Send a call that may not be repeated through both entries."""
+    """Send the same call through both entries; it may run only once."""
     print("-- a score that may not be repeated, sent through both entries")
     request = str(uuid6.uuid7())
     for entry in entries:
@@ -77,7 +77,7 @@
 
 
 def show_bills(fleet: processes.Fleet, count: int) -> None:
-    """Print the bills once they are in the platform's table."""
+    """Print the bill rows once all are in the platform's table."""
     processes.wait_until(lambda: len(fleet.rows("bill/")) == count, "bills")
     print("-- bill rows")
     for row in fleet.rows("bill/"):
--- a/misc/proofs.py
+++ b/misc/proofs.py
@@ -1,14 +1,14 @@
-"""The proofs: each names a mechanism, how to turn it off, and the test that shows it.
+"""The proofs: each names a mechanism, edits that switch it off, and a test of it.
 
-``misc.prove`` turns one mechanism off at a time in a copy of the tree and expects
-the test to fail there.  ``docs/PROOFS.md`` is the table for readers.
+``misc.prove`` switches off one mechanism at a time in a copy of the tree and expects
+the test to fail there.  ``docs/PROOFS.md`` is generated from this list.
 """
 
 import typing
 
 
 class Edit(typing.NamedTuple):
-    """One replacement in a file of the package."""
+    """A replacement of text in a file of the package."""
 
     file: str
     old: str
@@ -16,7 +16,10 @@
 
 
 class Proof(typing.NamedTuple):
-    """A mechanism of one row, and its test."""
+    """A mechanism and its test.
+
+    :param row: the number under which ``docs/PROOFS.md`` groups mechanisms.
+    """
 
     row: int
     mechanism: str
@@ -24,12 +27,12 @@
     edits: tuple[Edit, ...]
 
 
-# The row of the gateway's proofs.
+# The row that all proofs of the gateway have.
 GATEWAY_ROW: typing.Final = 11
 
 
 def gateway(mechanism: str, test: str, file: str, old: str, new: str = "") -> Proof:
-    """Make a proof of the gateway that replaces one text."""
+    """Make a proof of the gateway with a single replacement."""
     return Proof(GATEWAY_ROW, mechanism, test, (Edit(file, old, new),))
 
 
@@ -51,7 +54,7 @@
     ),
     Proof(
         1,
-        "an agent that is behind the entry does not run",
+        "an agent whose configuration is older than the entry's refuses the request",
         "testconfig.py::test_a_request_runs_only_if_the_newest_revision_either_knows"
         "_allows_it",
         (Edit("agent_gate.py", "start.revision > self._config.revision", "False"),),
@@ -71,7 +74,7 @@
     ),
     Proof(
         2,
-        "a new entry takes the configuration of the agents",
+        "a new entry takes its configuration from the agents",
         "testconfig.py::test_a_withdrawal_is_in_force_everywhere_while_the_table_is"
         "_down",
         (
@@ -90,20 +93,20 @@
     ),
     Proof(
         3,
-        "the token's version is the only candidate",
+        "a session request may run only on the version in its token",
         "testsessions.py::test_a_session_keeps_its_version_over_rollouts_and_replaced"
         "_entries",
         (Edit("entry_serve.py", "if call.session is not None:", "if False:"),),
     ),
     Proof(
         3,
-        "a named session is the first one written",
+        "the first session written under a name is the one that is used",
         "testsessions.py::test_two_first_requests_with_one_name_open_one_session",
         (Edit("entry_sessions.py", "session = self._claim_name(session)", "pass"),),
     ),
     Proof(
         3,
-        "a token counts in its own workspace only",
+        "a session token is valid only in its own workspace",
         "testsessions.py::test_a_token_of_another_workspace_is_refused_and_not_run",
         (
             Edit(
@@ -115,7 +118,7 @@
     ),
     Proof(
         4,
-        "the agent holds a copy of each bill",
+        "the agent keeps a copy of each bill until it is written",
         "testbills.py::test_the_agent_writes_the_bill_of_an_entry_that_died",
         (
             Edit(
@@ -127,7 +130,7 @@
     ),
     Proof(
         4,
-        "a bill is inserted only if absent",
+        "a bill row is inserted only if it is absent",
         "testbills.py::test_lost_answers_of_the_table_neither_lose_nor_double_a_bill",
         (
             Edit(
@@ -139,7 +142,7 @@
     ),
     Proof(
         4,
-        "a stopping process hands its bills over",
+        "a stopping process hands unwritten bills over",
         "testbills.py::test_a_fleet_replaced_during_an_outage_loses_no_bill",
         (
             Edit(
@@ -152,7 +155,7 @@
     ),
     Proof(
         4,
-        "the entry's bill goes before an agent's",
+        "the entry's bill replaces an agent's bill of the same request",
         "testbills.py::test_an_entrys_bill_replaces_that_of_an_abandoned_attempt",
         (
             Edit(
@@ -164,14 +167,14 @@
     ),
     Proof(
         5,
-        "parts are taken by number",
+        "parts are put in order and duplicates dropped by sequence number",
         "teststreams.py::test_late_swapped_doubled_and_missing_parts_never_make_a_wrong"
         "_answer",
         (Edit("entry_attempt.py", "part.seq < self._next", "False"),),
     ),
     Proof(
         5,
-        "the end counts the parts",
+        "an answer is complete only with as many parts as its end names",
         "teststreams.py::test_late_swapped_doubled_and_missing_parts_never_make_a_wrong"
         "_answer",
         (
@@ -184,7 +187,7 @@
     ),
     Proof(
         5,
-        "a window bounds what is under way",
+        "a window bounds the unacknowledged parts of a stream",
         "teststreams.py::test_a_slow_reader_limits_what_is_in_flight_and_holds_up"
         "_nobody",
         (
@@ -197,13 +200,13 @@
     ),
     Proof(
         5,
-        "a stream that its engine cut is taken up again",
+        "a stream that its engine cut is resumed",
         "teststreams.py::test_a_stream_that_its_engine_cuts_is_resumed",
         (Edit("agent_run.py", "resumes > self._max_resumes", "True"),),
     ),
     Proof(
         5,
-        "an entry asks again for what a cut connection lost",
+        "an entry asks again for parts that a cut connection lost",
         "teststreams.py::test_a_stream_survives_a_cut_between_entry_and_agent",
         (
             Edit(
@@ -227,7 +230,7 @@
     ),
     Proof(
         5,
-        "silence ends a stream with an error",
+        "a stream whose agent went silent ends with an error",
         "teststreams.py::test_a_stream_over_a_silent_connection_ends_in_an_error_event",
         (
             Edit(
@@ -239,13 +242,13 @@
     ),
     Proof(
         5,
-        "a stream without its end mark is not whole",
+        "a stream without its end marker counts as incomplete",
         "teststreams.py::test_a_stream_that_cannot_be_resumed_ends_in_an_error_event",
         (Edit("agent_run.py", "return stream.is_complete", "return True"),),
     ),
     Proof(
         6,
-        "a call whose answer did not come is not called not run",
+        "a call whose answer was lost is not reported as not run",
         "testclaims.py::test_a_call_whose_answer_is_lost_stays_unknown_and_is_not_run"
         "_again",
         (
@@ -258,7 +261,7 @@
     ),
     Proof(
         6,
-        "what was called lost on the way is not run by a straggler",
+        "an attempt reported as lost in transit is not run when it arrives late",
         "testrefusals.py::test_a_refused_request_never_runs_in_any_order_of_messages",
         (
             Edit(
@@ -270,7 +273,7 @@
     ),
     Proof(
         6,
-        "an agent that died after its call leaves the outcome unknown",
+        "a call whose agent died after the call started has an unknown outcome",
         "testrefusals.py::test_an_agent_that_dies_just_after_its_call_leaves_the"
         "_outcome_unknown",
         (
@@ -284,7 +287,7 @@
     ),
     Proof(
         7,
-        "a claim is inserted only if absent",
+        "a claim row is inserted only if it is absent",
         "testclaims.py::test_the_same_id_through_two_entries_at_once_runs_once",
         (
             Edit(
@@ -327,7 +330,7 @@
     ),
     Proof(
         7,
-        "a lost answer is settled by the transaction's id",
+        "a write whose answer was lost is recognized by its transaction id",
         "testclaims.py::test_the_tables_lost_answer_to_a_claim_does_not_double_the_run",
         (
             Edit(
@@ -339,7 +342,7 @@
     ),
     Proof(
         7,
-        "an abandoned claim is marked only where it is still that claim",
+        "an abandoned claim is marked only if its row still holds that claim",
         "testclaims.py::test_no_order_of_faults_lets_a_call_run_twice",
         (
             Edit(
@@ -351,7 +354,7 @@
     ),
     Proof(
         7,
-        "an outcome that could not be written is written later",
+        "an outcome that could not be written is queued and written later",
         "testclaims.py::test_an_outcome_is_written_once_the_table_is_back",
         (
             Edit(
@@ -363,7 +366,7 @@
     ),
     Proof(
         8,
-        "an agent's own word takes it out",
+        "an agent that reports that it is leaving gets no new requests",
         "testleaving.py::test_an_agent_that_says_it_leaves_gets_nothing_new",
         (
             Edit(
@@ -375,7 +378,7 @@
     ),
     Proof(
         8,
-        "the VM list alone takes an agent out",
+        "an agent that only the VM list names as leaving gets no new requests",
         "testleaving.py::test_an_agent_that_the_vm_list_names_as_leaving_gets_nothing"
         "_new",
         (
@@ -388,7 +391,7 @@
     ),
     Proof(
         8,
-        "silence takes an agent out",
+        "a silent agent gets no new requests",
         "testleaving.py::test_a_silent_agent_gets_nothing_new",
         (
             Edit(
@@ -400,7 +403,7 @@
     ),
     Proof(
         8,
-        "an endpoint whose load reports fail is taken out",
+        "an endpoint whose load reports fail gets no new requests",
         "testleaving.py::test_an_endpoint_that_died_gets_nothing_new",
         (Edit("agent_gate.py", "if self.failures >= MAX_LOAD_FAILURES:", "if False:"),),
     ),
@@ -419,7 +422,7 @@
     ),
     Proof(
         9,
-        "an agent's planned stop waits until answers are taken",
+        "an agent's planned stop waits until its answers are acknowledged",
         "testprocesses.py::test_a_planned_stop_cuts_no_stream_and_exits_cleanly[a]",
         (
             Edit(
@@ -431,13 +434,13 @@
     ),
     Proof(
         9,
-        "an end that was not acknowledged is posted again",
+        "an end that was not acknowledged is sent again",
         "testleaving.py::test_a_lost_acknowledgement_does_not_hold_up_a_planned_stop",
         (Edit("agent_hub.py", "            self._resend_ends(peer, now)\n", ""),),
     ),
     Proof(
         10,
-        "a publication is conditional on the head",
+        "a publication is conditional on the head row's version",
         "testconfig.py::test_a_publication_says_accepted_only_if_it_is_in_the_table"
         "_once",
         (
@@ -457,7 +460,7 @@
     ),
     Proof(
         10,
-        "the loser of two operators learns of it",
+        "of two concurrent publications, the later one is told of the conflict",
         "testconfig.py::test_of_two_operators_exactly_one_wins",
         (
             Edit(
@@ -477,7 +480,7 @@
     ),
     Proof(
         10,
-        "a revision never goes back",
+        "a process never returns to an older revision",
         "testconfig.py::test_revisions_never_go_back_and_all_processes_converge",
         (
             Edit(
@@ -494,7 +497,7 @@
     ),
     Proof(
         10,
-        "a control write carries the lease's condition",
+        "a control write is conditional on the lease",
         "testconfig.py::test_a_paused_lease_holder_cannot_write",
         (Edit("config_store.py", "            *conditions,\n", ""),),
     ),
@@ -513,7 +516,7 @@
     ),
     Proof(
         10,
-        "the lease is taken only once it has lapsed",
+        "the lease is taken only after it has expired",
         "testconfig.py::test_two_processes_never_hold_the_lease_at_one_time",
         (
             Edit(
--- a/misc/proofs_gateway_endpoints.py
+++ b/misc/proofs_gateway_endpoints.py
@@ -1,4 +1,4 @@
-"""The gateway's proofs: which endpoint gets a request, when, and which gets none."""
+"""The gateway's proofs: the choice of an endpoint and the pacing of sends."""
 
 import typing
 
@@ -6,14 +6,14 @@
 
 PROOFS: typing.Final = (
     proofs.gateway(
-        "an endpoint that starts again is a new one",
+        "an endpoint that restarts counts as a new incarnation",
         "testreborn.py::test_a_new_incarnation_has_no_state_of_the_earlier_one",
         "directory_rows.py",
         "endpoint is not None and endpoint.row.born != row.born",
         "False and endpoint is not None",
     ),
     proofs.gateway(
-        "a leaving endpoint gets nothing new",
+        "a leaving endpoint gets no new requests",
         "testrouting.py::test_a_draining_endpoint_is_used_only_if_alone_and_for_a"
         "_short_time",
         "directory_rows.py",
@@ -21,7 +21,7 @@
         "return live",
     ),
     proofs.gateway(
-        "a gateway that finds most endpoints dark is not believed",
+        "a peer that reports most endpoints unreachable is ignored",
         "testrouting.py::test_an_endpoint_that_peers_find_unreachable_is_suspected"
         "_until_heard",
         "directory_peers.py",
@@ -29,7 +29,7 @@
         "if False:",
     ),
     proofs.gateway(
-        "a prompt is kept only once it was read",
+        "a prompt counts as cached only after its prefill",
         "testprompts.py::test_prompts_are_reported_to_other_gateways_once",
         "directory.py",
         "            endpoint.backlog.add(prompt.reading, now)\n",
@@ -37,21 +37,21 @@
         "            self._use(endpoint, prompt.hashes)\n",
     ),
     proofs.gateway(
-        "engines read less when the choice knows what they keep",
+        "routing by prefix caches saves prefill",
         "testprompts.py::test_engines_prefill_less_when_routing_knows_their_caches",
         "prefix_cache.py",
         "            cached += hash_.tokens\n",
         "            cached += 0\n",
     ),
     proofs.gateway(
-        "refused callers come back one after another",
+        "refused callers get retry times one after another",
         "testreturns.py::test_more_callers_are_served_than_with_random_retry_times",
         "retry_schedule.py",
         "self._last_retry_at + pace_s",
         "self._last_retry_at",
     ),
     proofs.gateway(
-        "ends that a request does not explain speak for it",
+        "crashes that a request does not explain raise its quarantine threshold",
         "testquarantine.py::test_no_bystander_is_held_where_endpoints_end_by"
         "_themselves",
         "quarantine.py",
@@ -59,34 +59,34 @@
         "return HELD_WEIGHT",
     ),
     proofs.gateway(
-        "tries of a suspected request do not run side by side",
+        "attempts of a suspected request run one at a time",
         "testpoison.py::test_a_try_of_a_suspected_request_waits_for_the_one_before_it",
         "gateway_find.py",
         "if not self._must_wait(call):",
         "if True:",
     ),
     proofs.gateway(
-        "an endpoint that leaves and ends speaks against nobody",
+        "a crash of a leaving endpoint counts against no request",
         "testpoison.py::test_endpoints_that_leave_and_end_speak_against_nobody",
         "gateway_quarantine.py",
         "if attempt.endpoint.leave_at != clock.NEVER:",
         "if False:",
     ),
     proofs.gateway(
-        "an endpoint that warms up gets what it bears",
+        "sends to an endpoint that warms up are paced",
         "testwarmup.py::test_an_endpoint_that_turns_cold_again_is_limited",
         "warm_up.py",
         "            endpoint.next_send_at = now + pause\n",
     ),
     proofs.gateway(
-        "an endpoint that names a rate limit gets it from all gateways together",
+        "all gateways together keep to an endpoint's rate limit",
         "testlimits.py::test_an_endpoint_in_need_gets_what_it_names_from_all_gateways",
         "directory_rows.py",
         'return "" if self.pacer.take(endpoint) else "rate limited"',
         'return ""',
     ),
     proofs.gateway(
-        "an answer that was begun before a limit was named does not end it",
+        "an answer to an earlier request does not relax a newer rate limit",
         "testlimits.py::test_a_limit_holds_until_an_answer_to_a_later_request_names"
         "_none",
         "rate_limits.py",
@@ -94,56 +94,56 @@
         "if False:",
     ),
     proofs.gateway(
-        "what one gateway does not want of a limit another one may send",
+        "gateways lend their unused part of a rate limit to others",
         "testlimits.py::test_a_limit_is_used",
         "rate_pacing.py",
         "    return equal + spare * lack / lacks",
         "    return equal",
     ),
     proofs.gateway(
-        "gateways that begin at once draw the moments of their first sends",
+        "gateways that start to send at once draw random first send times",
         "testlimits.py::test_no_window_holds_more_than_is_allowed",
         "rate_pacing.py",
         "            pace.begin(now, self._rng.random())",
         "            pace.begin(now, 1.0)",
     ),
     proofs.gateway(
-        "word of a limit does not grow newer by being told back",
+        "a relayed report of a rate limit does not become newer",
         "testlimits.py::test_a_limit_report_does_not_become_newer_when_relayed",
         "rate_limits.py",
         "is_newer = as_of > known.as_of + SIMULTANEOUS_S",
         "is_newer = as_of > known.as_of",
     ),
     proofs.gateway(
-        "what endpoints do not take in time is refused at once",
+        "a request that cannot be sent in time is refused at once",
         "testpaced.py::test_requests_above_the_rate_limits_are_refused_as_not_run",
         "gateway_find.py",
         "if self._queue.expected_send_at(call, position, turn) > latest_at:",
         "if False:",
     ),
     proofs.gateway(
-        "a request of a service that is wholly gone is refused at once",
+        "a request is refused at once when all endpoints of its service are gone",
         "testgone.py::test_a_service_that_is_wholly_gone_is_refused_as_not_run",
         "gateway_find.py",
         "        if not living:\n",
         "        if False:\n",
     ),
     proofs.gateway(
-        "one that was open as others ended does not get the last endpoint",
+        "the last endpoint is not given to a request that saw other endpoints crash",
         "testgone.py::test_a_suspected_request_does_not_get_the_last_endpoint",
         "quarantine.py",
         "return crash_count >= RESERVE_CRASHES and living <= 1 < all_of",
         "return False",
     ),
     proofs.gateway(
-        "the most urgent that waits goes first",
+        "queued requests are sent by urgency",
         "testpaced.py::test_requests_are_queued_by_urgency_and_then_by_arrival",
         "paced_queue.py",
         "position = Position(call.urgency, next(self._numbers))",
         "position = Position(0, next(self._numbers))",
     ),
     proofs.gateway(
-        "an endpoint that was out of sight counts as not warm",
+        "an endpoint that was missing for a while starts slowly",
         "testwarmup.py::test_one_that_was_out_of_sight_is_spared_before_its_row_says"
         "_so",
         "warm_up.py",
@@ -151,21 +151,21 @@
         "if False:",
     ),
     proofs.gateway(
-        "an emptied hall gets nothing",
+        "a cordoned hall gets no requests",
         "testemptied.py::test_an_order_stands_until_its_row_goes",
         "directory_rows.py",
         "        return endpoint.row.hall not in self._cordoned\n",
         "        return True\n",
     ),
     proofs.gateway(
-        "a send that was chosen before its hall was emptied does not go out",
+        "a send chosen before its hall was cordoned is stopped",
         "testemptied.py::test_a_send_that_was_chosen_before_the_order_does_not_go_out",
         "directory_rows.py",
         "if endpoint.row.hall in self._cordoned:",
         "if False:",
     ),
     proofs.gateway(
-        "requests stay in the regions of their route and workspace",
+        "requests stay in the regions that route and workspace allow",
         "testemptied.py::test_regions_of_the_route_and_of_the_workspace_both_bind",
         "gateway_choose.py",
         "        return all(not regions or region in regions for regions in"
--- a/misc/proofs_gateway_mesh.py
+++ b/misc/proofs_gateway_mesh.py
@@ -1,4 +1,4 @@
-"""The gateway's proofs: what gateways tell each other, and bounds they share."""
+"""The gateway's proofs: gossip between gateways, and bounds that they share."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 PROOFS: typing.Final = (
     proofs.gateway(
-        "a peer that was heard is not forgotten by a cut",
+        "a peer that has been heard is kept through an outage",
         "testfleet.py::test_a_peer_that_was_heard_is_tried_for_an_hour_and_another_is"
         "_not",
         "mesh.py",
@@ -14,14 +14,14 @@
         "FORGET_S",
     ),
     proofs.gateway(
-        "the allowance is shared by the members",
+        "the retry allowance is divided among the gateways",
         "testrouting.py::test_the_allowance_of_the_fleet_is_shared",
         "retry_window.py",
         "self._allowance / members if members else 0.0",
         "self._allowance",
     ),
     proofs.gateway(
-        "a gateway that is cut off has no more than its part of the allowance",
+        "a gateway that is cut off keeps to its part of the retry allowance",
         "testhalls.py::test_a_gateways_budget_goes_by_the_most_gateways_that_were"
         "_known",
         "gateway_node.py",
@@ -29,42 +29,42 @@
         "window_s,\n            lambda: self.mesh.members(),",
     ),
     proofs.gateway(
-        "a process that stops refuses in the end",
+        "a stopping gateway refuses new requests at the end",
         "testgatewaystops.py::test_a_process_refuses_requests_after_its_planned_stop",
         "gateway_node.py",
         "        self.server.stop_deadline = "
         "self.server.accept_all_until = self.clock.now()\n",
     ),
     proofs.gateway(
-        "halts and newer rows go to far peers at once",
+        "halts and newer rows go to distant peers at once",
         "testfleet.py::test_far_peers_get_fewer_heartbeats_but_halts_at_once",
         "mesh_peers.py",
         "    if news.urgent != peer.last_sent.urgent:\n",
         "    if False:\n",
     ),
     proofs.gateway(
-        "a silent connection between gateways is opened anew",
+        "a silent connection between gateways is reopened",
         "testfleet.py::test_a_connection_between_gateways_that_went_silent_is_opened"
         "_anew",
         "mesh.py",
         "    sock.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)\n",
     ),
     proofs.gateway(
-        "a gateway that takes no connection is not ready",
+        "a gateway that accepts no connections is not ready",
         "testgatewaystops.py::test_a_gateway_that_accepts_no_connections_is_not_ready",
         "gateway_node.py",
         "self.is_ready and self.port.is_accepting and not self.leaving",
         "self.is_ready and not self.leaving",
     ),
     proofs.gateway(
-        "carriers that fell silent are passed by",
+        "relays that went silent are bypassed",
         "testhalls.py::test_failed_relays_are_bypassed",
         "mesh_plan.py",
         "if peer.last_seen_at >= now - RELAY_TIMEOUT_S\n        and peer.beat\n",
         "if peer.beat\n",
     ),
     proofs.gateway(
-        "one who is spoken to and does not carry names those who do",
+        "a gateway addressed as a relay by mistake names the relays",
         "testhalls.py::test_a_gateway_that_is_spoken_to_and_does_not_carry_names_those"
         "_who_do",
         "mesh.py",
@@ -79,21 +79,21 @@
         "is_kept = peer.name",
     ),
     proofs.gateway(
-        "a summary of a hall is not used past its time",
+        "a hall summary is ignored once it has expired",
         "testhalls.py::test_a_halls_load_is_known_in_other_halls_and_not_past_its_time",
         "mesh_halls.py",
         "if k.as_of < now - SUMMARY_TIMEOUT_S]",
         "if False]",
     ),
     proofs.gateway(
-        "a summary is taken by its age, whoever tells it",
+        "hall summaries are ordered by age, whoever sends them",
         "testhalls.py::test_summaries_are_ordered_by_age_whoever_sends_them",
         "mesh_halls.py",
         "(known and known.as_of >= as_of)",
         "False",
     ),
     proofs.gateway(
-        "what all must know is passed on at once",
+        "an urgent change in a hall summary is forwarded at once",
         "testhalls.py::test_a_summary_goes_around_once_unless_it_changes_what_all_must"
         "_know",
         "mesh_halls.py",
@@ -101,7 +101,7 @@
         "return False",
     ),
     proofs.gateway(
-        "evidence of a hall goes to others as a sum",
+        "a hall's evidence is sent to other halls as one sum",
         "testhalls.py::test_evidence_costs_as_much_between_halls_whatever_gateways"
         "_they_have",
         "mesh_beats.py",
@@ -109,14 +109,14 @@
         "return [c for c in counters if is_near(c.source)]",
     ),
     proofs.gateway(
-        "a request that ends endpoints is held on every gateway",
+        "a poison request is quarantined on every gateway",
         "testpoison.py::test_a_poison_request_ends_three_endpoints_whichever_gateways"
         "_it_comes_through",
         "mesh.py",
         "        self._quarantine.take(beat.suspects, self._is_far(peer))\n",
     ),
     proofs.gateway(
-        "carriers pass on what is held",
+        "relays forward quarantined requests",
         "testquarantine.py::test_ends_that_three_gateways_saw_hold_a_request"
         "_everywhere",
         "mesh_beats.py",
@@ -125,7 +125,7 @@
         "        if True:\n            return (quarantine.Origin.OWN,)\n",
     ),
     proofs.gateway(
-        "what is held is told again to one that missed it",
+        "quarantined requests are sent again to a gateway that missed them",
         "testquarantine.py::test_a_gateway_that_was_cut_off_hears_what_is_held_when"
         "_it_is_back",
         "mesh.py",
@@ -133,26 +133,26 @@
         "include_held = False",
     ),
     proofs.gateway(
-        "agents pass on what entries hold",
+        "agents forward entries' quarantined requests",
         "testownpoison.py::test_an_entry_that_starts_later_hears_what_is_held",
         "agent_hub.py",
         "        self._quarantine.take(msg.suspects, is_far=False)\n",
     ),
     proofs.gateway(
-        "all gateways hear of a limit",
+        "a rate limit is reported to all gateways",
         "testlimits.py::test_all_gateways_hear_of_a_limit_and_of_its_end",
         "mesh_beats.py",
         "            limits=self._directory.pacer.news(),\n",
     ),
     proofs.gateway(
-        "a gateway that is cut off goes by the fleet as it was",
+        "a gateway that is cut off uses the fleet's size from before",
         "testwarmup.py::test_a_fleet_that_falls_apart_goes_by_what_it_was",
         "mesh_members.py",
         "return max(self._counted_peak.value, self._reported_peak.value)",
         "return self.members()",
     ),
     proofs.gateway(
-        "the store came back when it answered somebody again",
+        "the store counts as back when it answers any gateway again",
         "testhalls.py::test_a_gateway_that_left_the_store_to_others_knows_when_it_came"
         "_back",
         "mesh_members.py",
--- a/misc/proofs_gateway_requests.py
+++ b/misc/proofs_gateway_requests.py
@@ -1,4 +1,4 @@
-"""The gateway's proofs: one request on its way."""
+"""The gateway's proofs: the handling of a single request."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 PROOFS: typing.Final = (
     proofs.gateway(
-        "an answer that goes silent in its body is given up",
+        "an attempt whose answer stalls in its body is abandoned",
         "testsilent.py::test_a_safe_request_goes_elsewhere_when_its_connection_went"
         "_silent",
         "gateway_sender.py",
@@ -16,14 +16,14 @@
         "                    if reason != gateway_attempt.HELD:",
     ),
     proofs.gateway(
-        "a call that may have run is not sent again",
+        "a request that may have run is sent again only if it is repeatable",
         "testgateway.py::test_a_request_that_may_have_run_is_not_sent_again",
         "gateway_serve.py",
         "return call.route.repeatable and self._may_send_again(call)",
         "return self._may_send_again(call)",
     ),
     proofs.gateway(
-        "a stream goes on after the last event that the caller has",
+        "a resumed stream continues after the last event that the caller got",
         "testgateway.py::test_a_resumed_stream_keeps_its_model_and_names_the_last"
         "_event",
         "gateway_relay.py",
@@ -31,40 +31,40 @@
         "attempt = sends.send(call, reply, model, 0)",
     ),
     proofs.gateway(
-        "only whole events are passed on",
+        "only complete events are passed on",
         "testrouting.py::test_events_come_whole_however_the_bytes_are_cut",
         "event_stream.py",
         "        return min(ends) if ends else -1",
         "        return min(ends) if ends else len(self._buffer) or -1",
     ),
     proofs.gateway(
-        "the system's headers are dropped",
+        "headers reserved for the system are dropped from requests",
         "testgateway.py::test_forged_headers_and_keys_do_not_reach_an_endpoint",
         "platform/wire.py",
         "dropped = CONNECTION_HEADERS | SYSTEM_HEADERS | ",
         "dropped = CONNECTION_HEADERS | ",
     ),
     proofs.gateway(
-        "a wait notices that the caller left",
+        "waiting for an endpoint ends when the caller disconnects",
         "testgateway.py::test_a_caller_that_leaves_stops_its_endpoints_work",
         "http_exchange.py",
         "            self._caller.watch(poller)\n",
     ),
     proofs.gateway(
-        "framing that reads in two ways is refused",
+        "a request with ambiguous framing is refused",
         "testgateway.py::test_a_request_that_can_be_read_in_two_ways_is_refused",
         "gateway_http.py",
         "        _check_framing(raw)\n",
     ),
     proofs.gateway(
-        "a gateway that may be behind does not refuse for good",
+        "a gateway with stale configuration gives no final refusal",
         "testgateway.py::test_a_gateway_that_may_be_behind_does_not_refuse_for_good",
         "gateway_serve.py",
         "        if self._is_stale():\n",
         "        if False:\n",
     ),
     proofs.gateway(
-        "a request whose time is over before its send ends at once",
+        "a request whose deadline passes before its send ends at once",
         "testgateway.py::test_a_request_whose_time_is_over_before_its_send_ends_at"
         "_once",
         "gateway_serve.py",
@@ -72,33 +72,33 @@
         "if call.sends == sends:",
     ),
     proofs.gateway(
-        "the smallest model that is likely sure is asked",
+        "the smallest model that is likely to be confident is asked",
         "testrouting.py::test_the_smallest_model_that_is_likely_confident_is_asked",
         "policy_models.py",
         "            if confidence + total / count >= DOUBTFUL:\n",
         "            if False:\n",
     ),
     proofs.gateway(
-        "a request during the start is held for a moment",
+        "a request that arrives during the start waits for the first rows",
         "testgatewaystops.py::test_a_request_during_the_start_waits_for_the_first_rows",
         "gateway_serve.py",
         "        self._await_ready()\n",
     ),
     proofs.gateway(
-        "a send that waits is taken back when its request is held",
+        "a pending attempt is withdrawn when its request is quarantined",
         "testpoison.py::test_a_send_that_waits_is_taken_back_when_its_request_is_held",
         "gateway_sender.py",
         "if self._gate.should_withdraw(call, attempt):",
         "if False:",
     ),
     proofs.gateway(
-        "a whole answer clears a request",
+        "a complete answer clears a request of suspicion",
         "testpoison.py::test_a_stream_that_runs_goes_on_and_clears_its_request",
         "gateway_relay.py",
         "                self._gate.record_success(call)\n",
     ),
     proofs.gateway(
-        "an endpoint that takes connections has not ended",
+        "an endpoint that still accepts connections does not count as crashed",
         "testpoison.py::test_answers_that_break_off_at_living_endpoints_speak_against"
         "_nobody",
         "gateway_sender.py",
@@ -107,7 +107,7 @@
         "        endpoint.is_unreachable = True\n        if weight:\n",
     ),
     proofs.gateway(
-        "the own mode's entries hold a request as well",
+        "entries quarantine poison requests too",
         "testownpoison.py::test_a_poison_request_ends_three_engines_whichever_entries"
         "_it_comes_through",
         "entry_dispatch.py",
--- a/misc/proofs_gateway_restores.py
+++ b/misc/proofs_gateway_restores.py
@@ -1,4 +1,4 @@
-"""The gateway's proofs: a store that is restored from a backup."""
+"""The gateway's proofs: restores of the store from a backup."""
 
 import typing
 
@@ -18,14 +18,14 @@
 
 PROOFS: typing.Final = (
     proofs.gateway(
-        "a table is read whole in a new epoch",
+        "a new epoch causes a full read of the table",
         "testepochs.py",
         "followers.py",
         "            raise gateway_api.HistoryGone\n        if page.epoch <",
         "            return\n        if page.epoch <",
     ),
     proofs.gateway(
-        "a reading of a later epoch is taken, whatever its version",
+        "a read of a later epoch is applied whatever its version",
         "testrestored.py::test_an_endpoint_that_leaves_under_a_reused_version_gets"
         "_nothing_new",
         "followers.py",
@@ -40,21 +40,21 @@
         "        if False:\n            raise",
     ),
     proofs.gateway(
-        "a proof of another epoch proves nothing",
+        "a verification of another epoch is ignored",
         "testepochs.py::test_a_verification_of_another_epoch_is_ignored",
         "followers.py",
         "if news.digest == self._digest and news.epoch == self.epoch:",
         "if news.digest == self._digest:",
     ),
     proofs.gateway(
-        "changes are given within an epoch alone",
+        "changes are sent only within one epoch",
         "testepochs.py::test_a_peer_of_an_earlier_epoch_gets_the_whole_table",
         "followers.py",
         "if epoch != self.epoch or since < self._changes_from:",
         "if since < self._changes_from:",
     ),
     proofs.gateway(
-        "word of a peer has all tables read anew",
+        "a new epoch reported by a peer causes a full read of all tables",
         "testepochs.py::test_a_table_is_read_anew_when_a_peer_tells_a_restore_of"
         "_another",
         "row_exchange.py",
@@ -62,28 +62,28 @@
         "pass",
     ),
     proofs.gateway(
-        "a store whose history is gone again and again is asked with pauses",
+        "a store whose history is gone repeatedly is retried with pauses",
         "testepochs.py::test_a_store_that_answers_410_for_long_is_asked_with_pauses",
         "followers.py",
         "if self._history_gone_count > 1:",
         "if False:",
     ),
     proofs.gateway(
-        "a departure is kept that an older copy lacks",
+        "a departure missing from an older copy is kept",
         LEFT,
         "directory_rows.py",
         "                self._keep_departures(rows)\n",
         "",
     ),
     proofs.gateway(
-        "lives that are gone are remembered",
+        "incarnations that are gone are remembered",
         LEFT,
         "directory_rows.py",
         "                    self._remember_gone(endpoint)\n",
         "",
     ),
     proofs.gateway(
-        "answers do not end a departure whose row was lost",
+        "answers do not cancel a departure whose row a restore lost",
         "testrestoredendpoints.py::test_answers_do_not_take_back_a_departure_that_a"
         "_restore_lost",
         "departures.py",
@@ -91,35 +91,35 @@
         "elif False:",
     ),
     proofs.gateway(
-        "what is over stays over",
+        "a finished rollout does not run again",
         LOST,
         "rollouts.py",
         "if outcome.state is rollout_state.State.RUNNING:",
         "if False:",
     ),
     proofs.gateway(
-        "a lost outcome is written again",
+        "an outcome that a restore lost is written again",
         LOST,
         "rollout_writer.py",
         "if rollout.state is not rollout_state.State.RUNNING:",
         "if False:",
     ),
     proofs.gateway(
-        "an outcome waits for its order in the new epoch",
+        "an outcome waits until its order is read in the new epoch",
         AGAIN,
         "rollouts.py",
         "if outcome.epoch > rollout.epoch:",
         "if False:",
     ),
     proofs.gateway(
-        "a replaced order is known again in an older copy",
+        "a replaced order is recognized when an older copy brings it back",
         AGAIN,
         "rollouts.py",
         "if (revision, order) in self._replaced.get(order.service, ()):",
         "if False:",
     ),
     proofs.gateway(
-        "nothing is written by a version of an earlier epoch",
+        "no write uses a row version of an earlier epoch",
         "testrestoredrollouts.py::test_nothing_is_written_by_a_version_of_an_earlier"
         "_epoch",
         "rollout_writer.py",
@@ -127,7 +127,7 @@
         "if False:",
     ),
     proofs.gateway(
-        "a hall stays emptied while its order is lost",
+        "a hall stays cordoned while a restored store lacks its order",
         "testrestoredrollouts.py::test_a_hall_stays_emptied_while_a_restored_store"
         "_lacks_its_order",
         "gateway_rows.py",
@@ -135,7 +135,7 @@
         "pass",
     ),
     proofs.gateway(
-        "a gateway's own row is written again",
+        "a gateway writes its own row again after a restore",
         "testrestored.py::test_a_gateways_own_row_is_written_again_after_a_restore"
         "_lost_it",
         "gateway_own_rows.py",
@@ -143,7 +143,7 @@
         "            pass\n",
     ),
     proofs.gateway(
-        "a configuration in force is told to one that starts",
+        "a gateway that starts gets the configuration in force from a peer",
         "testrestored.py::test_a_gateway_that_starts_after_a_restore_has_its_peers"
         "_configuration",
         "mesh.py",
--- a/misc/proofs_gateway_store.py
+++ b/misc/proofs_gateway_store.py
@@ -1,4 +1,4 @@
-"""The gateway's proofs: what is followed in the store, and rollouts."""
+"""The gateway's proofs: followers of the store's tables, and rollouts."""
 
 import typing
 
@@ -6,21 +6,21 @@
 
 PROOFS: typing.Final = (
     proofs.gateway(
-        "a newer copy is not undone by an older answer",
+        "an older row does not replace a newer one",
         "testfleet.py::test_a_copy_of_a_peer_is_not_undone_by_an_older_answer",
         "followers.py",
         "            if old is not None and old.version >= row.version:\n"
         "                continue\n",
     ),
     proofs.gateway(
-        "a row removed meanwhile does not come back",
+        "a row that was removed meanwhile does not reappear",
         "testfleet.py::test_a_copy_of_a_peer_is_not_undone_by_an_older_answer",
         "followers.py",
         "            if row.version <= known_until and old is None:\n",
         "            if False:\n",
     ),
     proofs.gateway(
-        "a peer that stays ahead is asked",
+        "a peer that stays ahead is asked for its rows",
         "testfleet.py::test_a_peer_that_stays_ahead_is_asked_though_the_store_says"
         "_nothing",
         "row_exchange.py",
@@ -28,7 +28,7 @@
         "return not follower.connected",
     ),
     proofs.gateway(
-        "history that is gone is read anew",
+        "a follower reads the whole table when the store's history is gone",
         "testfleet.py::test_the_store_is_followed_through_lost_history_and_outages",
         "followers.py",
         "                self._is_read = False\n"
@@ -36,7 +36,7 @@
         "                self._history_gone_count += 1\n",
     ),
     proofs.gateway(
-        "a poll that tells nothing is checked",
+        "a long poll that reports nothing is checked",
         "testfreshness.py::test_a_configuration_is_in_force_after_an_outage_swallowed"
         "_the_poll",
         "followers.py",
@@ -44,7 +44,7 @@
         "if False:",
     ),
     proofs.gateway(
-        "a poll that a peer's copy went before is left",
+        "a long poll that missed a change in a peer's copy is abandoned",
         "testfreshness.py::test_a_poll_that_misses_a_change_in_a_peers_copy_is"
         "_abandoned",
         "followers.py",
@@ -52,7 +52,7 @@
         "            self.expect_change()\n",
     ),
     proofs.gateway(
-        "one who rests asks when no proof reaches it",
+        "a follower on standby asks the store when no verification arrives",
         "testfreshness.py::test_a_follower_on_standby_asks_when_no_verification_"
         "reaches_it",
         "followers.py",
@@ -60,14 +60,14 @@
         "elif not self.connected:",
     ),
     proofs.gateway(
-        "a peer's proof counts for the same rows alone",
+        "a peer's verification counts only for the same rows",
         "testfreshness.py::test_a_peers_verification_counts_only_for_the_same_rows",
         "followers.py",
         "if news.digest == self._digest and news.epoch == self.epoch:",
         "if news.changed == self.changed:",
     ),
     proofs.gateway(
-        "a proof keeps its age under way",
+        "a verification keeps its age in transit",
         "testfreshness.py::test_a_verification_keeps_its_age_however_long_it_is_in"
         "_transit",
         "freshness.py",
@@ -75,7 +75,7 @@
         "at = self._clock.now()",
     ),
     proofs.gateway(
-        "a copy that is older than what was read is not taken",
+        "a copy older than the rows already read is ignored",
         "testfollowing.py::test_a_row_that_is_gone_does_not_come_back_with_an_older"
         "_copy",
         "followers.py",
@@ -83,42 +83,42 @@
         "if (page.epoch, page.version) <= (self.epoch, self.changed):",
     ),
     proofs.gateway(
-        "what was told of an order holds when it comes",
+        "peers' reports on an order apply once the order arrives",
         "testrollouts.py::test_what_peers_told_of_an_order_holds_as_soon_as_it_comes",
         "rollouts.py",
         "if report is not None:",
         "if False:",
     ),
     proofs.gateway(
-        "an outcome is written on condition of its row",
+        "an outcome is written only if its row is unchanged",
         "testtakeover.py",
         "rollout_writer.py",
         "gateway_api.Write(table, key, value, expect)",
         "gateway_api.Write(table, key, value)",
     ),
     proofs.gateway(
-        "a write whose outcome is not known is made again",
+        "a write with an unknown outcome is repeated",
         "testrollouts.py::test_a_halt_is_written_again_until_the_store_takes_it",
         "rollout_writer.py",
         "self._paused_until = self._clock.now() + pause_s\n            eventlog",
         "self._paused_until = clock.NEVER\n            eventlog",
     ),
     proofs.gateway(
-        "followers take no step back, whatever comes late",
+        "late answers never take a follower back to older rows",
         "testfollowing.py",
         "followers.py",
         "            if old is not None and old.version >= row.version:\n"
         "                continue\n",
     ),
     proofs.gateway(
-        "a follower outlives a fault of its sink",
+        "a follower survives an exception in its sink",
         "testfreshness.py::test_a_follower_outlives_a_fault_of_its_sink",
         "followers.py",
         "            except Exception as exc:",
         "            except NotImplementedError as exc:",
     ),
     proofs.gateway(
-        "a table of several pages is as new as its first",
+        "a table read in pages has the version of its first page",
         "testfreshness.py::test_a_change_of_an_earlier_page_while_a_later_one_is_read"
         "_is_not_lost",
         "platform/store.py",
@@ -126,7 +126,7 @@
         '_number(body, "Ver")',
     ),
     proofs.gateway(
-        "an announcement is made until it is answered",
+        "an announcement is repeated until it is acknowledged",
         "testfreshness.py::test_a_gateway_whose_announcement_was_not_answered_makes_it"
         "_again",
         "gateway_own_rows.py",
@@ -134,35 +134,35 @@
         "self._announce()",
     ),
     proofs.gateway(
-        "no session changes sides in the first half",
+        "no session changes its version in the first half of a rollout",
         "testrollouts.py::test_no_session_changes_its_version_in_the_first_half",
         "rollouts.py",
         "            if elapsed_share >= since:\n",
         "            if elapsed_share >= since / 2:\n",
     ),
     proofs.gateway(
-        "evidence is judged route by route",
+        "evidence is judged separately for each route",
         "testrollouts.py::test_a_version_that_fails_on_one_route_is_stopped",
         "rollout_evidence.py",
         'return ["", *(f"/{route}" for route in sorted(self._routes.get(label, ())))]',
         'return [""]',
     ),
     proofs.gateway(
-        "slow answers are evidence",
+        "slow answers count as evidence against a version",
         "testrollouts.py::test_a_version_that_is_slow_is_stopped",
         "rollout_evidence.py",
         'return "slow" if is_slow else ""',
         'return ""',
     ),
     proofs.gateway(
-        "a canary's share goes to the same share of endpoints",
+        "a canary gets the same share of endpoints as of requests",
         "testrollouts.py::test_an_unproved_version_is_as_loaded_as_it_will_be",
         "rollouts.py",
         "return sorted(names)[: max(1, int(share * len(names)))]",
         "return names",
     ),
     proofs.gateway(
-        "a session keeps its version whichever gateway it comes through",
+        "a session keeps its version on every gateway",
         "testmovedsessions.py::test_a_session_keeps_its_version_whichever_gateway_it"
         "_comes_through",
         "rollouts.py",
@@ -172,7 +172,7 @@
         "return rollout.awaits_peers(now)",
     ),
     proofs.gateway(
-        "no session moves before all gateways have told theirs",
+        "no session moves before all gateways have reported theirs",
         "testmovedsessions.py::test_no_session_moves_before_all_have_told",
         "rollouts.py",
         "return rollout.awaits_peers(now) or rollout.pinned.is_reported(\n"
@@ -181,14 +181,14 @@
         "return rollout.pinned.is_reported(session_hash, now)",
     ),
     proofs.gateway(
-        "a late answer of the store makes no rollout older",
+        "a late store answer does not make a rollout look older",
         "testmovedsessions.py::test_a_store_that_answers_late_makes_no_rollout_older",
         "gateway_rows.py",
         "store_clock.latest_local(start.started)",
         "store_clock.earliest_local(start.started)",
     ),
     proofs.gateway(
-        "no start is written by a clock that is not the store's",
+        "no start time is written while the store's clock is unknown",
         "testmovedsessions.py::test_a_start_is_not_written_by_a_clock_that_is_not"
         "_known",
         "rollout_writer.py",
@@ -196,14 +196,14 @@
         "rollout.written is None",
     ),
     proofs.gateway(
-        "a version without answers is stopped",
+        "a version that gives no answers is halted",
         "testunstopped.py::test_a_version_that_gives_no_answers_is_halted",
         "gateway_judge.py",
         "        if self._judge(call, attempt, call.route.name, sample):\n",
         "        if False:\n",
     ),
     proofs.gateway(
-        "slow old answers do not hide a slow new version",
+        "slow answers of the old version do not hide a slow new version",
         "testunstopped.py::test_slow_answers_of_the_old_version_do_not_hide_a_slow"
         "_new_one",
         "rollout_latency.py",
@@ -211,7 +211,7 @@
         "return sum(times) / len(times)",
     ),
     proofs.gateway(
-        "a crash speaks against no version",
+        "a crash of an endpoint does not count against its version",
         "testunstopped.py::test_an_endpoint_that_crashes_does_not_count_against_its"
         "_version",
         "gateway_judge.py",
@@ -219,14 +219,14 @@
         "if not self.judges_breaks(call):",
     ),
     proofs.gateway(
-        "a version in doubt is not completed",
+        "a rollout with a suspected version is not completed",
         "testunstopped.py::test_a_suspected_version_is_not_completed",
         "rollout_writer.py",
         "if not self._rollouts.is_suspected(rollout):",
         "if True:",
     ),
     proofs.gateway(
-        "an odd row names no endpoint",
+        "an invalid row names no endpoint",
         "testoddrows.py::test_an_invalid_row_names_no_endpoint_and_the_others_stay",
         "gateway_rows.py",
         "self._directory.update(row.key, None)\n        is_restored",
@@ -241,7 +241,7 @@
         "if not same:",
     ),
     proofs.gateway(
-        "a rollout completes when nothing runs on the old version",
+        "a rollout completes once nothing runs on the old version",
         "testrollouts.py::test_a_rollout_completes_when_nothing_runs_on_the_old"
         "_version",
         "rollout_writer.py",
@@ -251,14 +251,14 @@
         "True",
     ),
     proofs.gateway(
-        "a peer's word halts a version",
+        "a peer's report halts a version",
         "testrollouts.py::test_a_peers_word_halts_a_version",
         "rollouts.py",
         "        if news.halted:\n            self.halt(",
         "        if False:\n            self.halt(",
     ),
     proofs.gateway(
-        "a store that is away is left to others while they try",
+        "a disconnected store is left to peers while they retry",
         "testfreshness.py::test_a_store_that_is_away_is_left_to_others_for_as_long"
         "_as_they_try",
         "followers.py",
@@ -266,7 +266,7 @@
         "try_at",
     ),
     proofs.gateway(
-        "a session that goes on stays where it ran",
+        "a running session keeps its version when an order arrives",
         "testrollouts.py::test_a_session_that_runs_keeps_its_version_when_an_order"
         "_comes",
         "rollouts.py",
@@ -274,7 +274,7 @@
         "pass",
     ),
     proofs.gateway(
-        "a suspension counts in every age",
+        "suspended time counts in every age",
         "testsuspended.py::test_a_stale_configuration_gives_no_final_refusal_after_a"
         "_suspension",
         "clock.py",
@@ -282,14 +282,14 @@
         "return time.monotonic()",
     ),
     proofs.gateway(
-        "an attempt is not waited for past its deadline",
+        "no wait for an attempt outlasts its deadline",
         "testsuspended.py::test_no_wait_for_an_attempt_outlasts_its_deadline",
         "clock.py",
         "cond.wait(min(left, SLICE_S))",
         "cond.wait(left)",
     ),
     proofs.gateway(
-        "changes that are not all known are no answer to a peer",
+        "a peer gets the whole table when the changes since its copy are incomplete",
         "testscale.py::test_a_peer_that_is_too_far_behind_gets_the_whole_table",
         "followers.py",
         "            if epoch != self.epoch or since < self._changes_from:\n"
--- a/misc/prove.py
+++ b/misc/prove.py
@@ -1,9 +1,9 @@
-"""Shows that each proof fails with its mechanism off.
+"""Checks that the test of each proof fails when its mechanism is switched off.
 
     python -m misc.prove [--row N] [--jobs N]
 
-Each proof runs in a scratch copy of the tree.  Exit code 0: every test failed
-there.  The tests themselves pass with the mechanisms on: run ``make test``.
+Each proof runs in a temporary copy of the tree.  The exit code is 0 if every test
+failed there.  That the tests pass with the mechanisms on is checked by ``make test``.
 """
 
 import argparse
@@ -24,9 +24,9 @@
 
 
 def apply(edit: proofs.Edit, tree: pathlib.Path) -> None:
-    """Make one replacement.
+    """Apply one replacement.
 
-    :raises ValueError: when the text is not there: the proof is out of date.
+    :raises ValueError: if the file lacks the text, so that the proof is out of date.
     """
     path = tree / "gaprock" / edit.file
     text = path.read_text()
@@ -36,16 +36,16 @@
 
 
 def run_mutated(proof: proofs.Proof) -> str:
-    """Run a proof's test with its mechanism off; give the verdict."""
+    """Run a proof's test with its mechanism switched off and return the verdict."""
     with tempfile.TemporaryDirectory(prefix="gaprock-prove-") as folder:
         tree = pathlib.Path(folder)
-        # Some tests play what the benches play.
+        # Some tests run simulations of the benches.
         for part in ("gaprock", "bench"):
             shutil.copytree(ROOT / part, tree / part)
         shutil.copy(ROOT / "pyproject.toml", tree)
         for edit in proof.edits:
             apply(edit, tree)
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "pytest", "-x", f"--timeout={TEST_WAIT_S}"]
             + ["-p", "no:cacheprovider", f"gaprock/test/{proof.test}"],
             cwd=tree,
@@ -53,27 +53,27 @@
             text=True,
             check=False,
         )
-    if done.returncode == TESTS_FAILED:
+    if completed.returncode == TESTS_FAILED:
         return "fails"
-    if done.returncode == 0:
+    if completed.returncode == 0:
         return "PASSES"
-    return f"ERROR {done.returncode}: {done.stdout[-300:]}"
+    return f"ERROR {completed.returncode}: {completed.stdout[-300:]}"
 
 
 def main() -> int:
     """Run the proofs."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--row", type=int, help="only this row's proofs")
-    parser.add_argument("--jobs", type=int, default=3, help="proofs at a time")
+    parser.add_argument("--row", type=int, help="run only the proofs of this row")
+    parser.add_argument("--jobs", type=int, default=3, help="proofs to run in parallel")
     args = parser.parse_args()
-    chosen = [p for p in proofs_gateway.ALL if args.row in (None, p.row)]
+    selected = [p for p in proofs_gateway.ALL if args.row in (None, p.row)]
     with futures.ThreadPoolExecutor(args.jobs) as executor:
-        verdicts = list(executor.map(run_mutated, chosen))
-    for proof, verdict in zip(chosen, verdicts):
+        verdicts = list(executor.map(run_mutated, selected))
+    for proof, verdict in zip(selected, verdicts):
         print(f"row {proof.row:2}  without it: {verdict:6}  {proof.mechanism}")
     good = sum(verdict == "fails" for verdict in verdicts)
-    print(f"{good} of {len(chosen)} tests fail with their mechanism off")
-    return 0 if good == len(chosen) else 1
+    print(f"{good} of {len(selected)} tests fail with their mechanism off")
+    return 0 if good == len(selected) else 1
 
 
 if __name__ == "__main__":
--- a/misc/write_days.py
+++ b/misc/write_days.py
@@ -1,11 +1,11 @@
-"""Writes days of our own for the users' bench: troubles alone and in pairs.
+"""Writes the project's own days for the users' bench: faults and planned work.
 
     python -m misc.write_days
 
-The days lie in ``deploy/days``; each is played on any site by the bench's ``run``, and
-its ``hunt`` plays them with times and figures varied.  They hold no traffic of their
-own, so the site's plays; ``@s0``, ``@c0`` and ``@z0`` are a site's first service, kind
-of request and hall.
+The days are written to ``deploy/days``.  The bench's ``run`` plays a day on any site,
+and its ``hunt`` plays it with varied times and figures.  The days define no traffic, so
+the site's own traffic is used.  ``@s0``, ``@c0`` and ``@z0`` stand for the site's first
+service, kind of request and hall.
 """
 
 import pathlib
@@ -14,33 +14,36 @@
 FOLDER: typing.Final = pathlib.Path(__file__).resolve().parent.parent / "deploy/days"
 SEED: typing.Final = 7
 AT_S: typing.Final = 6.0
-Trouble = dict[str, object]
+DayEvent = dict[str, object]
 
 
-def fault(kind: str, how: str = "", at: float = AT_S, **more: object) -> Trouble:
-    """Describe a fault."""
+def fault(kind: str, how: str = "", at: float = AT_S, **more: object) -> DayEvent:
+    """Return a fault.
+
+    :param how: variants of the kind, separated by spaces.
+    """
     return {"kind": kind, "how": how, "at": at, **more}
 
 
-def rollout(kind: str, how: str = "", **more: object) -> Trouble:
-    """Describe a rollout, which is planned work."""
+def rollout(kind: str, how: str = "", **more: object) -> DayEvent:
+    """Return a rollout, which is planned work."""
     return {"plan": True, "at": 2.0, "kind": kind, "how": how, "for_s": 24.0, **more}
 
 
-def plan(kind: str, how: str = "", at: float = AT_S, **more: object) -> Trouble:
-    """Describe planned work."""
+def plan(kind: str, how: str = "", at: float = AT_S, **more: object) -> DayEvent:
+    """Return planned work."""
     return {"plan": True, "kind": kind, "how": how, "at": at, **more}
 
 
-# One change of the configuration a second, a route with every second one.
-SERIES: typing.Final = [
+# One change of the configuration a second, alternately of a tenant and of a route.
+CONFIG_CHANGES: typing.Final = [
     plan("config_change", how, at=2.0 + number)
     for number, how in enumerate(("tenant", "route") * 12)
 ]
-# Just after a change, when the polls are asked anew.
-OUTAGES: typing.Final = (5.06, 8.06, 11.06, 14.06, 17.06)
-# Endpoints that end one after the other: when, which share of them, and how.
-CRASHES: typing.Final = (
+# Just after a change of ``CONFIG_CHANGES``, when long polls have been sent again.
+OUTAGES_AT_S: typing.Final = (5.06, 8.06, 11.06, 14.06, 17.06)
+# Successive crashes of endpoints: the time, the share of endpoints, and the variant.
+SUCCESSIVE_CRASHES: typing.Final = (
     (5.0, 0.3, ""),
     (7.5, 0.3, ""),
     (10.0, 0.5, ""),
@@ -51,7 +54,7 @@
 )
 
 
-DAYS: typing.Final[dict[str, list[Trouble]]] = {
+DAYS: typing.Final[dict[str, list[DayEvent]]] = {
     "deadly-twice-beside-crashes": [
         fault("poison", "deadly", at=4.0, **{"class": "@c0"}, share=0.1, for_s=8.0),
         fault("srv_crash", at=9.0, share=0.2, for_s=3.0, service="@s0"),
@@ -107,12 +110,12 @@
     "grey-slow": [fault("srv_grey", "slow", share=0.4, for_s=8.0, x=8.0)],
     "slow-servers": [fault("srv_slow", share=0.4, for_s=8.0, x=4.0)],
     "cut-servers": [fault("srv_cut", "some", share=0.4, for_s=6.0)],
-    # No request is to blame, and none is to be held for it.
+    # No request causes these crashes, so none may be quarantined for them.
     "endpoints-crash-by-turns-in-a-burst": [
         fault("burst", at=4.0, x=2.0, for_s=20.0),
         *(
             fault("srv_crash", how, at=at, share=share, for_s=2.0, service="@s0")
-            for at, share, how in CRASHES
+            for at, share, how in SUCCESSIVE_CRASHES
         ),
     ],
     "reused-address": [fault("replace_with_reuse", share=0.3)],
@@ -154,32 +157,32 @@
     "config-storm": [plan("config_storm", for_s=6.0, gap_s=0.1)],
     "config-routes": [plan("config_change", "route"), plan("config_change", "weights")],
     "changes-while-store-is-silent": [
-        *SERIES,
+        *CONFIG_CHANGES,
         fault("platform_down", "silent", at=5.06, for_s=6.0),
     ],
     "changes-while-store-refuses-some": [
-        *SERIES,
+        *CONFIG_CHANGES,
         fault("platform_down", "nodes revoke meet", at=5.06, share=0.6, for_s=8.0),
         fault("platform_down", "silent", at=17.06, for_s=3.0),
     ],
     "changes-while-store-comes-and-goes": [
-        *SERIES,
-        *(fault("platform_down", "silent", at=at, for_s=1.2) for at in OUTAGES),
+        *CONFIG_CHANGES,
+        *(fault("platform_down", "silent", at=at, for_s=1.2) for at in OUTAGES_AT_S),
     ],
     "changes-while-cut-and-killed": [
-        *SERIES,
+        *CONFIG_CHANGES,
         fault("core_cut", "all", at=5.06, count=1, for_s=6.0),
         fault("platform_down", "silent", at=9.06, for_s=4.0),
         fault("node_kill", "leader", at=10.0, on="core", count=1),
         fault("node_slow", at=15.0, share=0.5, x=5.0, for_s=6.0),
     ],
     "changes-while-channels-are-reset": [
-        *SERIES,
-        *(fault("reset_conns", at=at, share=1.0, x=0.7) for at in OUTAGES),
+        *CONFIG_CHANGES,
+        *(fault("reset_conns", at=at, share=1.0, x=0.7) for at in OUTAGES_AT_S),
         fault("lossy", at=12.0, x=0.1, for_s=8.0),
     ],
     "changes-while-store-is-slow": [
-        *SERIES,
+        *CONFIG_CHANGES,
         fault("platform_slow", at=5.06, x=100.0, for_s=6.0),
         fault("platform_lost", "late", at=13.06, x=0.6, for_s=6.0),
         fault("platform_compact", "drain", at=21.06, x=6.0, for_s=4.0),
@@ -273,11 +276,11 @@
 }
 
 
-def write_trouble(trouble: Trouble) -> str:
-    """Write one entry as an inline table."""
+def write_event(event: DayEvent) -> str:
+    """Return a fault or planned work as an inline table."""
     pairs = [
         f"{name} = {_value(value)}"
-        for name, value in trouble.items()
+        for name, value in event.items()
         if name != "plan" and value != ""
     ]
     return "  { " + ", ".join(pairs) + " },\n"
@@ -287,19 +290,19 @@
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
-def write_day(name: str, troubles: list[Trouble]) -> str:
-    """Write a day."""
-    planned = "".join(write_trouble(t) for t in troubles if t.get("plan"))
-    faults = "".join(write_trouble(t) for t in troubles if not t.get("plan"))
+def write_day(name: str, events: list[DayEvent]) -> str:
+    """Return a day as TOML."""
+    planned = "".join(write_event(t) for t in events if t.get("plan"))
+    faults = "".join(write_event(t) for t in events if not t.get("plan"))
     head = f'[[day]]\nname = "{name}"\nslot = "trouble"\nseed = {SEED}\n'
     return head + f"plan = [\n{planned}]\nfaults = [\n{faults}]\n"
 
 
 def main() -> None:
-    """Write them all."""
+    """Write all days."""
     FOLDER.mkdir(parents=True, exist_ok=True)
-    for name, troubles in DAYS.items():
-        (FOLDER / f"{name}.toml").write_text(write_day(name, troubles))
+    for name, events in DAYS.items():
+        (FOLDER / f"{name}.toml").write_text(write_day(name, events))
 
 
 if __name__ == "__main__":
