--- a/gaprock/test/soak.py
+++ b/gaprock/test/soak.py
@@ -1,15 +1,16 @@
-"""A randomized soak: real gateways, faults from outside, promises checked.
+"""A randomized soak test: injects faults into real gateways and checks guarantees.
 
-``python -m gaprock.test.soak --seeds 50`` plays fifty seeds and says what each broke.
-One seed goes like this:
+``python -m gaprock.test.soak --seeds 50`` runs fifty seeds and prints the violations of
+each.  A seed runs in these steps:
 
-1. Gateways, store and endpoints start; callers begin to call.
-2. Faults come in series and overlap, chosen by the seed; planned work comes among them.
-3. All faults end; every gateway must serve every kind of request again, and take a new
-   key in time.
-4. The record is held against the promises (``soak_ledger``).
+1. Gateways, store and endpoints start; callers begin to send requests.
+2. The seed chooses a series of faults, which may overlap, and planned work.
+3. All faults end; every gateway must serve every kind of request again, and accept a
+   new key in time.
+4. The recorded events are checked against the guarantees (``soak_ledger``).
 
-A seed names a series of faults; the timing is the machine's.
+A seed determines the series of faults but not their timing, which depends on the
+machine.
 """
 
 import argparse
@@ -22,33 +23,40 @@
 from gaprock.test import soak_run, soak_steps  # noqa: F401
 
 
-def play(seed: int, seconds: float, gateways: int, logs: pathlib.Path) -> list[str]:
-    """Play one seed, say how much was tried, and give what it broke."""
+def run_seed(seed: int, seconds: float, gateways: int, logs: pathlib.Path) -> list[str]:
+    """Run one seed, print a summary, and return the violations of guarantees."""
     soak = soak_run.Soak(seed, seconds, gateways, logs)
-    broken = soak.run()
+    violations = soak.run()
     print(f"seed {seed}: {soak.ledger.summary()}", flush=True)
-    return broken
+    return violations
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Play seeds one after the other; the exit code says whether all kept."""
+    """Run seeds one after the other; the exit code is 0 if none had a violation."""
     parser = argparse.ArgumentParser("soak", description=__doc__.splitlines()[0])
-    parser.add_argument("--seed", type=int, help="the first seed; default: a fresh one")
-    parser.add_argument("--seeds", type=int, default=1, help="how many")
-    parser.add_argument("--seconds", type=float, default=12.0, help="faults in each")
+    parser.add_argument(
+        "--seed", type=int, help="the first seed; default: a random one"
+    )
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds")
+    parser.add_argument(
+        "--seconds",
+        type=float,
+        default=12.0,
+        help="duration of the faults of each seed",
+    )
     parser.add_argument("--gateways", type=int, default=3)
     args = parser.parse_args(argv)
     first = random.SystemRandom().randrange(1 << 30) if args.seed is None else args.seed
     failed = 0
     for seed in range(first, first + args.seeds):
         logs = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        broken = play(seed, args.seconds, args.gateways, logs)
-        failed += bool(broken)
+        violations = run_seed(seed, args.seconds, args.gateways, logs)
+        failed += bool(violations)
         print(
-            f"seed {seed}: {len(broken)} broken"
-            + (f", logs in {logs}" if broken else "")
+            f"seed {seed}: {len(violations)} broken"
+            + (f", logs in {logs}" if violations else "")
         )
-        for line in broken[:10]:
+        for line in violations[:10]:
             print(f"  {line}", flush=True)
     print(f"{args.seeds - failed} passed, {failed} failed")
     return 1 if failed else 0
--- a/gaprock/test/soak_callers.py
+++ b/gaprock/test/soak_callers.py
@@ -1,4 +1,7 @@
-"""The callers of a soak: they keep their connections until the process is gone."""
+"""The callers of a soak test.
+
+A caller keeps its connection to a gateway until that fails or is closed.
+"""
 
 import http.client
 import random
@@ -9,20 +12,20 @@
 
 from gaprock.test import gatewaysite, soak_fleet, soak_ledger
 
-# How long a caller waits for an answer, milliseconds; a route holds it for less.
+# The deadline that callers set, shorter than the routes' time limit (``ROUTE_MS``).
 WAIT_MS: typing.Final = 4000
-# Longest a caller's socket waits, seconds: past every time limit and its slack.
+# Timeout of a caller's socket, longer than every time limit with its slack.
 SOCKET_S: typing.Final = 12.0
 PAUSE_S: typing.Final = 0.05
-# Share of requests that carry a key which was taken away.
+# Share of requests that use a revoked key.
 REVOKED_SHARE: typing.Final = 0.1
-# Pause between two tries of the poison request, shortest and longest, seconds.
+# Shortest and longest pause between two sends of the poison request.
 POISON_PAUSE_S: typing.Final = (0.1, 0.5)
 EVENT_ID: typing.Final = re.compile(rb"^id: (\d+)$", re.MULTILINE)
 
 
 class Caller:
-    """One caller on a thread of its own."""
+    """A caller that sends requests from its own thread."""
 
     def __init__(self, fleet: soak_fleet.Fleet, seed: int) -> None:
         self._fleet = fleet
@@ -34,11 +37,11 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the request under way."""
+        """End after the current request."""
         self._stopped.set()
 
     def join(self) -> bool:
-        """Wait for the end; whether it came."""
+        """Wait for the thread; return whether it has ended."""
         self._thread.join(2 * SOCKET_S)
         return not self._thread.is_alive()
 
@@ -52,7 +55,7 @@
                 self._conn = None
 
     def _connect(self) -> bool:
-        """Connect as the balancer would: to a gateway that says it is ready."""
+        """Connect to a random gateway if it is ready, as the load balancer does."""
         self._gateway = self._rng.choice(self._fleet.gateways)
         if not self._gateway.is_ready():
             return False
@@ -65,7 +68,7 @@
 
 
 class PoisonCaller:
-    """Sends one request again and again, to any gateway, until it is stopped."""
+    """Sends the poison request to random gateways again and again."""
 
     def __init__(self, fleet: soak_fleet.Fleet, seed: int) -> None:
         self._fleet = fleet
@@ -75,7 +78,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End after the request under way."""
+        """End after the current request."""
         self._stopped.set()
         self._thread.join(2 * SOCKET_S)
 
@@ -87,14 +90,14 @@
                 continue
             conn = connect(gateway)
             poison = soak_fleet.POISON
-            # The first key is never taken away while others are left.
+            # The first key is never revoked.
             key = self._fleet.keys[0]
             call(self._fleet, gateway, conn, kind, self._rng, key, poison)
             conn.close()
 
 
 def connect(gateway: soak_fleet.GatewayProcess) -> http.client.HTTPConnection:
-    """Prepare a connection to a gateway."""
+    """Create a connection to a gateway, which connects with the first request."""
     return http.client.HTTPConnection(gateway.ip, gateway.port, timeout=SOCKET_S)
 
 
@@ -106,11 +109,11 @@
     rng: random.Random,
     key: str = "",
     body: bytes = b"",
-) -> soak_ledger.Try:
-    """Make a request and write it down; a connection that failed is closed.
+) -> soak_ledger.CallResult:
+    """Send a request and record the result; a connection that failed is closed.
 
-    :param key: empty for one that chance picks.
-    :param body: empty for the request's own.
+    :param key: the API key; empty for a random one.
+    :param body: empty for the usual body of the request.
     """
     assert conn is not None
     request = f"{rng.getrandbits(64):016x}"
@@ -118,8 +121,8 @@
     use_revoked = revoked and rng.random() < REVOKED_SHARE
     key = key or rng.choice(revoked if use_revoked else fleet.keys)
     label, sent_at = gateway.label, fleet.ledger.now()
-    fleet.ledger.note_sent(request, kind)
-    status, whole, right, events = 0, False, False, b""
+    fleet.ledger.record_sent(request, kind)
+    status, is_complete, is_correct, events = 0, False, False, b""
     try:
         body = body or soak_fleet.body_of(request)
         conn.request("POST", f"/{kind}/x", body, _headers(request, key))
@@ -127,16 +130,16 @@
         status = answer.status
         try:
             events = answer.read()
-            whole = True
+            is_complete = True
         except http.client.IncompleteRead as exc:
             events = exc.partial
-        right = _is_right(kind, request, events, answer)
+        is_correct = _is_correct(kind, request, events, answer)
     except (OSError, http.client.HTTPException, socket.timeout):
         conn.close()
-    if not whole:
+    if not is_complete:
         conn.close()
-    numbers = tuple(int(n) for n in EVENT_ID.findall(events))
-    made = soak_ledger.Try(
+    event_ids = tuple(int(n) for n in EVENT_ID.findall(events))
+    result = soak_ledger.CallResult(
         request,
         kind,
         key,
@@ -145,12 +148,12 @@
         fleet.ledger.now(),
         sent_at + WAIT_MS / 1000,
         status,
-        whole,
-        right,
-        numbers if kind == "gen" and status == 200 else (),
+        is_complete,
+        is_correct,
+        event_ids if kind == "gen" and status == 200 else (),
     )
-    fleet.ledger.add(made)
-    return made
+    fleet.ledger.add(result)
+    return result
 
 
 def _headers(request: str, key: str) -> dict[str, str]:
@@ -159,7 +162,7 @@
         "X-Request-Id": request,
         "X-Deadline-Ms": str(WAIT_MS),
         "Authorization": f"Bearer {key}",
-        # Only the system may set this; an endpoint must not see it.
+        # Only the system may set this header; it must not reach an endpoint.
         "X-Tenant": "forged",
         "X-Model": "*",
         "X-Token-Counts": "100,20",
@@ -168,10 +171,10 @@
     }
 
 
-def _is_right(
+def _is_correct(
     kind: str, request: str, body: bytes, answer: http.client.HTTPResponse
 ) -> bool:
-    """Whether a success is the whole answer to its own request."""
+    """Whether the body of a success is the complete answer to its request."""
     if answer.getheader("X-Server-Stamp") is None:
         return False
     if kind != "gen":
--- a/gaprock/test/soak_ledger.py
+++ b/gaprock/test/soak_ledger.py
@@ -1,8 +1,9 @@
-"""What callers, endpoints and the operator of a soak saw, held against promises.
+"""Records the events of a soak test and checks them against the guarantees.
 
-Everything is written down as it happens; ``judge`` looks at it when the run is over.
-A promise with a time in it holds only for calm spans: those in which nothing unplanned
-touched the gateway, the store or the endpoints, nor shortly before.
+``Ledger`` records what callers, endpoints and the operator do and see; ``Judge`` checks
+the record after the run.  A guarantee with a time limit is checked only for calm spans:
+those in which, and shortly before which, no unplanned disruption affected the gateway,
+the store or the endpoints.
 """
 
 import collections
@@ -11,40 +12,41 @@
 import time
 import typing
 
-# A disturbance still counts for this long after its end, seconds.
+# A disruption still counts for this time after its end.
 CALM_AFTER_S: typing.Final = 4.0
-# Slack of all promises with a time in them, seconds: the machine of a soak is busy.
+# Slack of all time limits, since a soak test keeps its machine busy.
 SLACK_S: typing.Final = 2.0
-# An answer that breaks off later may have run into its caller's time, seconds.
+# An answer that breaks off after this time may have reached its caller's deadline.
 CUT_WITHIN_S: typing.Final = 3.8
-# A request that ended so many endpoints gets to no more than so many, from so long
-# after on, seconds.
-POISON_ENDS: typing.Final = 3
-POISON_LATE: typing.Final = 3
-CONTACT_S: typing.Final = 3.0
-# Statuses which say that a request has not run and never will.
+# Once the poison request has crashed ``POISON_CRASHES`` endpoints, at most
+# ``MAX_LATE_POISON`` further sends of it may arrive later than ``POISON_KNOWN_S``.
+POISON_CRASHES: typing.Final = 3
+MAX_LATE_POISON: typing.Final = 3
+POISON_KNOWN_S: typing.Final = 3.0
+# Statuses that guarantee that a request has not run and will not run.
 NOT_RUN: typing.Final = frozenset((408, 421, 429, 503))
-# Who a disturbance touches when it touches everybody.
+# The target of a disruption that affects all gateways.
 ALL: typing.Final = "all"
 
 
-# A rate limit counts after this time, seconds, in spans of this length, with so many
-# requests besides.
+# A rate limit is checked from this time after it was named on, in windows of this
+# length, with a tolerance of a few requests.
 LIMIT_KNOWN_S: typing.Final = 3.0
 LIMIT_WINDOW_S: typing.Final = 4.0
 LIMIT_SLACK: typing.Final = 5
-# In a backoff so many requests of a gateway may come, but for those that were on their
-# way, which come within this time, seconds.
-BACKOFF_MOST: typing.Final = 2
-ON_WAY_S: typing.Final = 0.5
+# The number of requests that a gateway may send to an endpoint within its backoff, not
+# counting those that were in transit, which arrive within ``IN_TRANSIT_S``.
+MAX_IN_BACKOFF: typing.Final = 2
+IN_TRANSIT_S: typing.Final = 0.5
 
 
-class Try(typing.NamedTuple):
-    """A caller's request, as it ended.
+class CallResult(typing.NamedTuple):
+    """The result of a caller's request.
 
-    :param gateway: the process it went to, with its life: ``g1#2``.
-    :param status: 0 when no head of an answer came.
-    :param whole: whether the answer came to its end by the protocol.
+    :param gateway: the incarnation of the gateway that received it: ``g1#2``.
+    :param status: 0 if no response head arrived.
+    :param is_complete: whether the response ended as the protocol requires.
+    :param is_correct: whether the body is the expected answer.
     :param events: numbers of the events of a stream.
     """
 
@@ -56,13 +58,17 @@
     ended_at: float
     deadline: float
     status: int
-    whole: bool
-    right: bool
+    is_complete: bool
+    is_correct: bool
     events: tuple[int, ...]
 
 
 class Run(typing.NamedTuple):
-    """A request that an endpoint ran."""
+    """A request that an endpoint ran.
+
+    :param leaked_key: whether the caller's API key reached the endpoint.
+    :param body_matches: whether the body arrived unchanged.
+    """
 
     request: str
     kind: str
@@ -70,14 +76,14 @@
     at: float
     workspace: str
     leaked_key: bool
-    body_right: bool
+    body_matches: bool
 
 
-class Disturbance(typing.NamedTuple):
-    """Something that the soak did.
+class Disruption(typing.NamedTuple):
+    """A fault or planned work.
 
-    :param planned: whether promises hold through it, as for a planned stop.
-    :param target: the name of what it touched, or ``ALL``.
+    :param planned: whether guarantees hold through it, as for a planned stop.
+    :param target: the name of the gateway that it affected, or ``ALL``.
     """
 
     what: str
@@ -87,24 +93,27 @@
     end: float
 
 
-class Start(typing.NamedTuple):
-    """An endpoint's start, and from when on it is warm."""
+class EndpointStart(typing.NamedTuple):
+    """The start of an endpoint, and the end of its warm-up."""
 
     hall: str
     at: float
     warm_at: float
 
 
-class Emptied(typing.NamedTuple):
-    """A hall that the operator emptied, and when it was taken back."""
+class Cordon(typing.NamedTuple):
+    """A hall that the operator cordoned, and when the order was withdrawn."""
 
     hall: str
     at: float
-    back_at: float
+    withdrawn_at: float
 
 
-class Limited(typing.NamedTuple):
-    """An endpoint that named a rate limit, requests a second, in a span."""
+class LimitPeriod(typing.NamedTuple):
+    """A period in which an endpoint named a rate limit.
+
+    :param per_s: the limit, requests a second.
+    """
 
     endpoint: str
     per_s: float
@@ -112,11 +121,11 @@
     until: float
 
 
-class Word(typing.NamedTuple):
-    """An endpoint's answer that says something of it.
+class Announcement(typing.NamedTuple):
+    """An answer in which an endpoint asked for a backoff or announced its departure.
 
-    :param request: that it answers.
-    :param backoff_s: for which the endpoint wants nothing more; 0 where it leaves.
+    :param request: the request that it answered.
+    :param backoff_s: the backoff; 0 for a departure.
     """
 
     endpoint: str
@@ -126,317 +135,348 @@
 
 
 class Arrival(typing.NamedTuple):
-    """A request that came to an endpoint."""
+    """The arrival of a request at an endpoint."""
 
     request: str
     at: float
 
 
 class Ledger:
-    """The record; safe for all threads."""
+    """The record of a run; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
-        self.tries: list[Try] = []
+        self.results: list[CallResult] = []
         self.runs: list[Run] = []
-        self.disturbances: list[Disturbance] = []
-        # When the operator took keys away and added some, by key, and endpoints began
-        # to leave.
+        self.disruptions: list[Disruption] = []
+        # When the operator revoked and added keys, by key, and when endpoints began to
+        # leave, by name.
         self.revoked: dict[str, float] = {}
         self.added: dict[str, float] = {}
         self.leaving: dict[str, float] = {}
         self.sent: dict[str, str] = {}
-        # When the poison request came to an endpoint, and the id that it came under.
+        # When the poison request reached an endpoint, and the id that it had.
         self.poisoned: list[tuple[float, str]] = []
 
-        # Endpoints by their names, when requests came there, and emptied halls.
-        self.starts: dict[str, Start] = {}
+        # Endpoints and arrivals of requests by the endpoint's name, and cordoned halls.
+        self.starts: dict[str, EndpointStart] = {}
         self.arrivals: dict[str, list[float]] = collections.defaultdict(list)
-        self.emptied: list[Emptied] = []
-        self.limited: list[Limited] = []
-        # What endpoints said of themselves, and what came there, by name.
-        self.words: list[Word] = []
+        self.cordons: list[Cordon] = []
+        self.limit_periods: list[LimitPeriod] = []
+        # Backoffs and departures, and the requests that arrived at each endpoint.
+        self.announcements: list[Announcement] = []
         self.requests: dict[str, list[Arrival]] = collections.defaultdict(list)
 
     def add_endpoint(self, name: str, hall: str, at: float, warm_at: float) -> None:
-        """Write down that an endpoint starts."""
+        """Record the start of an endpoint."""
         with self._lock:
-            self.starts[name] = Start(hall, at, warm_at)
+            self.starts[name] = EndpointStart(hall, at, warm_at)
 
-    def note_arrival(self, endpoint: str, request: str) -> None:
-        """Write down that a request came to an endpoint."""
+    def record_arrival(self, endpoint: str, request: str) -> None:
+        """Record the arrival of a request at an endpoint."""
         with self._lock:
             self.arrivals[endpoint].append(self.now())
             self.requests[endpoint].append(Arrival(request, self.now()))
 
     def now(self) -> float:
-        """The soak's clock."""
+        """The time of the soak test's clock."""
         return time.monotonic()
 
-    def note_sent(self, request: str, kind: str) -> None:
-        """Write down that a request is about to be sent."""
+    def record_sent(self, request: str, kind: str) -> None:
+        """Record a request that is about to be sent."""
         with self._lock:
             self.sent[request] = kind
 
-    def add(self, item: Try | Run | Disturbance) -> None:
-        """Write something down."""
+    def add(self, item: CallResult | Run | Disruption) -> None:
+        """Record a result, a run or a disruption."""
         with self._lock:
-            if isinstance(item, Try):
-                self.tries.append(item)
+            if isinstance(item, CallResult):
+                self.results.append(item)
             elif isinstance(item, Run):
                 self.runs.append(item)
             else:
-                self.disturbances.append(item)
+                self.disruptions.append(item)
 
     def summary(self) -> str:
-        """Tell how much was tried, for the output of a run."""
-        answered = sum(made.status == 200 and made.whole for made in self.tries)
-        refused = sum(made.status in NOT_RUN for made in self.tries)
-        names = collections.Counter(d.what for d in self.disturbances)
+        """Return counts of requests, runs and disruptions for the output."""
+        answered = sum(
+            result.status == 200 and result.is_complete for result in self.results
+        )
+        refused = sum(result.status in NOT_RUN for result in self.results)
+        names = collections.Counter(d.what for d in self.disruptions)
         faults = ", ".join(f"{name} {count}" for name, count in sorted(names.items()))
         return (
-            f"{len(self.tries)} requests, {answered} answered, {refused} refused, "
+            f"{len(self.results)} requests, {answered} answered, {refused} refused, "
             f"{len(self.runs)} runs; {faults}"
         )
 
-    def is_held_up(self, gateway: str, start: float, end: float) -> bool:
-        """Whether a gateway stood still, or the way to endpoints held requests up."""
+    def was_delayed(self, gateway: str, start: float, end: float) -> bool:
+        """Whether a gateway was paused or a proxy delayed its requests in a span."""
         name = gateway.partition("#")[0]
         return any(
             d.start <= end and d.end >= start
-            for d in self.disturbances
+            for d in self.disruptions
             if (d.what == "pause" and d.target == name) or d.what.startswith("relay")
         )
 
-    def replace(self, old: Disturbance, new: Disturbance) -> None:
-        """Write down the end of a disturbance."""
+    def replace(self, old: Disruption, new: Disruption) -> None:
+        """Replace a disruption, to record its end."""
         with self._lock:
-            self.disturbances.remove(old)
-            self.disturbances.append(new)
+            self.disruptions.remove(old)
+            self.disruptions.append(new)
 
     def is_calm(
-        self, gateway: str, start: float, end: float, besides: str = ""
+        self, gateway: str, start: float, end: float, ignored: str = ""
     ) -> bool:
-        """Whether nothing unplanned touched a gateway in a span, or shortly before.
+        """Whether no unplanned disruption affected a gateway in or just before a span.
 
-        :param besides: what counts as nothing.
+        :param ignored: a kind of disruption that does not count.
         """
         name = gateway.partition("#")[0]
         return not any(
             d.start <= end and d.end + CALM_AFTER_S >= start
-            for d in self.disturbances
-            if not d.planned and d.target in (ALL, name) and d.what != besides
+            for d in self.disruptions
+            if not d.planned and d.target in (ALL, name) and d.what != ignored
         )
 
 
 class Judge:
-    """Holds a record against the promises."""
+    """Checks a record against the guarantees.
+
+    :param drain_s: time after which a leaving endpoint gets no more requests.
+    :param config_s: time within which a change is in force.
+    :param cordon_s: time after which a cordoned hall gets no more requests.
+    :param cold_per_s: most requests a second to an endpoint that warms up; 0 for
+        no limit.
+    """
 
     def __init__(
         self,
         ledger: Ledger,
         drain_s: float,
         config_s: float,
-        emptied_s: float = math.inf,
-        bears: int = 0,
+        cordon_s: float = math.inf,
+        cold_per_s: int = 0,
     ) -> None:
         self._ledger = ledger
-        # Within which a hall gets nothing more, and what an endpoint that is not warm
-        # may get in a second; 0 where it may get all.
-        self._emptied_s = emptied_s
-        self._bears = bears
+        self._cordon_s = cordon_s
+        self._cold_per_s = cold_per_s
         self._drain_s = drain_s
-        # Within which a gateway that nothing disturbs has a change in force, seconds.
+        # Time within which a gateway without faults has a change in force.
         self._known_s = config_s + SLACK_S
-        self._tries = {t.request: t for t in ledger.tries}
+        self._results = {t.request: t for t in ledger.results}
         self._runs: dict[str, list[Run]] = {}
         for run in ledger.runs:
             self._runs.setdefault(run.request, []).append(run)
 
-    def broken(self) -> list[str]:
-        """Give a line for each promise that was not kept."""
+    def violations(self) -> list[str]:
+        """Return a line for each violation of a guarantee."""
         checks = (
-            self._unasked,
-            self._at_most_once,
-            self._refusals_are_true,
-            self._answers_are_whole,
-            self._stops_cut_nothing,
-            self._final_in_time,
+            self._unrequested_runs,
+            self._repeated_runs,
+            self._false_refusals,
+            self._wrong_answers,
+            self._cut_answers,
+            self._late_answers,
             self._leaving_endpoints,
             self._revoked_keys,
             self._added_keys,
             self._poison,
-            self._emptied_halls,
-            self._not_warm,
+            self._cordoned_halls,
+            self._warm_ups,
             self._rate_limits,
-            self._words,
+            self._announcements,
         )
         return [line for check in checks for line in check()]
 
-    def _unasked(self) -> typing.Iterator[str]:
+    def _unrequested_runs(self) -> typing.Iterator[str]:
         for run in self._ledger.runs:
             if self._ledger.sent.get(run.request) != run.kind:
                 yield f"unasked: {run.endpoint} ran {run.request} as {run.kind}"
-            elif run.workspace != "ws" or run.leaked_key or not run.body_right:
+            elif run.workspace != "ws" or run.leaked_key or not run.body_matches:
                 yield f"changed: {run.endpoint} ran {run}"
 
-    def _at_most_once(self) -> typing.Iterator[str]:
+    def _repeated_runs(self) -> typing.Iterator[str]:
         for request, runs in self._runs.items():
             if runs[0].kind == "unsafe" and len(runs) > 1:
                 yield f"twice: {request} on {[run.endpoint for run in runs]}"
 
-    def _refusals_are_true(self) -> typing.Iterator[str]:
-        for made in self._ledger.tries:
-            ran = made.request in self._runs
-            # A failed run of what may be repeated may end in a refusal.
-            if made.status in NOT_RUN and ran and made.kind == "unsafe":
-                yield f"false refusal: {made.request} got {made.status}, and ran"
+    def _false_refusals(self) -> typing.Iterator[str]:
+        for result in self._ledger.results:
+            ran = result.request in self._runs
+            # A repeatable request may be refused after a run that failed.
+            if result.status in NOT_RUN and ran and result.kind == "unsafe":
+                yield f"false refusal: {result.request} got {result.status}, and ran"
 
-    def _answers_are_whole(self) -> typing.Iterator[str]:
-        for made in self._ledger.tries:
-            if made.status != 200:
+    def _wrong_answers(self) -> typing.Iterator[str]:
+        for result in self._ledger.results:
+            if result.status != 200:
                 continue
-            numbers = list(made.events)
+            numbers = list(result.events)
             if numbers != list(range(1, len(numbers) + 1)):
-                yield f"out of order: {made.request} got events {numbers}"
-            if made.whole and not made.right:
-                yield f"wrong answer: {made}"
-
-    def _stops_cut_nothing(self) -> typing.Iterator[str]:
-        for made in self._ledger.tries:
-            if made.whole or made.status in NOT_RUN or made.request not in self._runs:
+                yield f"out of order: {result.request} got events {numbers}"
+            if result.is_complete and not result.is_correct:
+                yield f"wrong answer: {result}"
+
+    def _cut_answers(self) -> typing.Iterator[str]:
+        for result in self._ledger.results:
+            if (
+                result.is_complete
+                or result.status in NOT_RUN
+                or result.request not in self._runs
+            ):
                 continue
-            if made.ended_at - made.sent_at >= CUT_WITHIN_S:
+            if result.ended_at - result.sent_at >= CUT_WITHIN_S:
                 continue
-            if self._ledger.is_calm(made.gateway, made.sent_at, made.ended_at):
-                yield f"cut: {made}"
+            if self._ledger.is_calm(result.gateway, result.sent_at, result.ended_at):
+                yield f"cut: {result}"
 
-    def _final_in_time(self) -> typing.Iterator[str]:
-        for made in self._ledger.tries:
-            if made.ended_at <= made.deadline + SLACK_S:
+    def _late_answers(self) -> typing.Iterator[str]:
+        for result in self._ledger.results:
+            if result.ended_at <= result.deadline + SLACK_S:
                 continue
-            if self._ledger.is_calm(made.gateway, made.sent_at, made.ended_at):
-                yield f"late: {made}"
+            if self._ledger.is_calm(result.gateway, result.sent_at, result.ended_at):
+                yield f"late: {result}"
 
     def _leaving_endpoints(self) -> typing.Iterator[str]:
         for run in self._ledger.runs:
             left = self._ledger.leaving.get(run.endpoint, run.at)
-            made = self._tries.get(run.request)
-            if run.at - left <= self._drain_s + SLACK_S or made is None:
+            result = self._results.get(run.request)
+            if run.at - left <= self._drain_s + SLACK_S or result is None:
                 continue
-            if self._ledger.is_calm(made.gateway, left, run.at):
+            if self._ledger.is_calm(result.gateway, left, run.at):
                 after_s = run.at - left
                 yield f"leaving: {run.endpoint} got {run.request} {after_s:.1f} s on"
 
     def _revoked_keys(self) -> typing.Iterator[str]:
-        """No revoked key is served late, nor served again by a process that knew."""
+        """Find revoked keys that were served late, or again after a refusal."""
         refused: dict[tuple[str, str], float] = {}
-        for made in sorted(self._ledger.tries, key=lambda t: t.sent_at):
-            taken_at = self._ledger.revoked.get(made.key)
-            if taken_at is None:
+        for result in sorted(self._ledger.results, key=lambda t: t.sent_at):
+            revoked_at = self._ledger.revoked.get(result.key)
+            if revoked_at is None:
                 continue
-            who = made.gateway, made.key
-            # A new key that was not known yet was not refused as one taken away.
-            added_at = self._ledger.added.get(made.key, -math.inf)
-            if made.status == 401 and made.sent_at > added_at + self._known_s:
-                refused.setdefault(who, made.ended_at)
-            elif made.status == 200 and made.sent_at > refused.get(who, made.sent_at):
-                yield f"went back: {made}"
-            if self._is_in_force(made, taken_at) and made.request in self._runs:
-                yield f"revoked key served: {made}"
+            who = result.gateway, result.key
+            # A refusal of a key that was added and not yet known is no revocation.
+            added_at = self._ledger.added.get(result.key, -math.inf)
+            if result.status == 401 and result.sent_at > added_at + self._known_s:
+                refused.setdefault(who, result.ended_at)
+            elif result.status == 200 and result.sent_at > refused.get(
+                who, result.sent_at
+            ):
+                yield f"went back: {result}"
+            if self._is_in_force(result, revoked_at) and result.request in self._runs:
+                yield f"revoked key served: {result}"
 
     def _added_keys(self) -> typing.Iterator[str]:
-        """No key that was added is refused late."""
-        for made in self._ledger.tries:
-            added_at = self._ledger.added.get(made.key)
-            if made.status != 401 or added_at is None:
+        """Find new keys that were refused late."""
+        for result in self._ledger.results:
+            added_at = self._ledger.added.get(result.key)
+            if result.status != 401 or added_at is None:
                 continue
-            if made.key not in self._ledger.revoked and self._is_in_force(
-                made, added_at
+            if result.key not in self._ledger.revoked and self._is_in_force(
+                result, added_at
             ):
-                yield f"added key refused: {made}"
+                yield f"added key refused: {result}"
 
     def _poison(self) -> typing.Iterator[str]:
-        """A request that ended three endpoints reaches few more."""
-        came = self._ledger.poisoned
-        if len(came) < POISON_ENDS:
+        """Find late sends of a request that crashed three endpoints."""
+        sends = self._ledger.poisoned
+        if len(sends) < POISON_CRASHES:
             return
-        known_at = came[POISON_ENDS - 1][0] + CONTACT_S + SLACK_S
-        late = [(at, request) for at, request in came if at > known_at]
+        known_at = sends[POISON_CRASHES - 1][0] + POISON_KNOWN_S + SLACK_S
+        late = [(at, request) for at, request in sends if at > known_at]
         late = [
             (at, request)
             for at, request in late
-            if request in self._tries
+            if request in self._results
             and self._ledger.is_calm(
-                self._tries[request].gateway, at - CONTACT_S, at, "poison"
+                self._results[request].gateway, at - POISON_KNOWN_S, at, "poison"
             )
         ]
-        if len(late) > POISON_LATE:
-            yield f"poison: {len(late)} sends later than 3 s, of {len(came)}: {late}"
+        if len(late) > MAX_LATE_POISON:
+            yield f"poison: {len(late)} sends later than 3 s, of {len(sends)}: {late}"
 
-    def _emptied_halls(self) -> typing.Iterator[str]:
-        """No emptied hall gets requests late."""
+    def _cordoned_halls(self) -> typing.Iterator[str]:
+        """Find cordoned halls that got requests late."""
         for run in self._ledger.runs:
-            made, start = self._tries.get(run.request), self._ledger.starts
-            for hall, at, back_at in self._ledger.emptied:
+            result, start = self._results.get(run.request), self._ledger.starts
+            for hall, at, withdrawn_at in self._ledger.cordons:
                 is_there = run.endpoint in start and start[run.endpoint].hall == hall
-                known_at = at + self._emptied_s + SLACK_S
-                if made is None or not is_there or not known_at < run.at < back_at:
+                known_at = at + self._cordon_s + SLACK_S
+                if (
+                    result is None
+                    or not is_there
+                    or not known_at < run.at < withdrawn_at
+                ):
                     continue
-                if self._ledger.is_calm(made.gateway, at, run.at):
+                if self._ledger.is_calm(result.gateway, at, run.at):
                     yield f"emptied: {run.endpoint} in {hall} got {run.request}"
 
-    def _not_warm(self) -> typing.Iterator[str]:
-        """No endpoint gets more than it bears while it is not warm, from anybody."""
-        for name, start in self._ledger.starts.items() if self._bears else ():
-            came = [t for t in self._ledger.arrivals[name] if t < start.warm_at]
-            worst = max((sum(t <= o < t + 1.0 for o in came) for t in came), default=0)
-            if worst > self._bears:
-                yield f"not warm: {name} got {worst} in a second, of {self._bears}"
+    def _warm_ups(self) -> typing.Iterator[str]:
+        """Find endpoints that got more requests than allowed while they warmed up."""
+        for name, start in self._ledger.starts.items() if self._cold_per_s else ():
+            times = [t for t in self._ledger.arrivals[name] if t < start.warm_at]
+            most = max(
+                (sum(t <= other < t + 1.0 for other in times) for t in times), default=0
+            )
+            if most > self._cold_per_s:
+                yield f"not warm: {name} got {most} in a second, of {self._cold_per_s}"
 
     def _rate_limits(self) -> typing.Iterator[str]:
-        """No endpoint gets half as much again as it names, and a few, from anybody."""
-        for name, per_s, at, until in self._ledger.limited:
+        """Find endpoints that exceeded 1.5 times the named rate and a few requests.
+
+        The requests of all gateways count together.
+        """
+        for name, per_s, at, until in self._ledger.limit_periods:
             most = 1.5 * per_s * LIMIT_WINDOW_S + LIMIT_SLACK
             known_at = at + LIMIT_KNOWN_S
-            came = [t for t in self._ledger.arrivals[name] if known_at <= t < until]
-            for first in came:
-                got = sum(first <= t < first + LIMIT_WINDOW_S for t in came)
-                if got > most:
-                    yield f"rate limit: {name} got {got} at {per_s} a second"
+            times = [t for t in self._ledger.arrivals[name] if known_at <= t < until]
+            for first in times:
+                count = sum(first <= t < first + LIMIT_WINDOW_S for t in times)
+                if count > most:
+                    yield f"rate limit: {name} got {count} at {per_s} a second"
                     break
 
-    def _words(self) -> typing.Iterator[str]:
-        """No gateway sends where an endpoint told it not to, whatever else happens."""
-        for word in self._ledger.words:
-            told = self._tries.get(word.request)
-            if told is None:
+    def _announcements(self) -> typing.Iterator[str]:
+        """Find gateways that sent requests during a backoff or after a departure.
+
+        This holds through all disruptions, except those that delay requests.
+        """
+        for notice in self._ledger.announcements:
+            answered = self._results.get(notice.request)
+            if answered is None:
                 continue
-            first_at, until = word.at + self._drain_s, math.inf
-            most = 0
-            if word.backoff_s:
-                first_at, until = word.at + ON_WAY_S, word.at + word.backoff_s
-                most = BACKOFF_MOST
+            since, until = notice.at + self._drain_s, math.inf
+            allowed = 0
+            if notice.backoff_s:
+                since, until = (
+                    notice.at + IN_TRANSIT_S,
+                    notice.at + notice.backoff_s,
+                )
+                allowed = MAX_IN_BACKOFF
             late = [
-                came
-                for came in self._ledger.requests[word.endpoint]
-                if first_at < came.at < until
-                and self._gateway_of(came.request) == told.gateway
-                and not self._ledger.is_held_up(told.gateway, word.at, came.at)
+                arrival
+                for arrival in self._ledger.requests[notice.endpoint]
+                if since < arrival.at < until
+                and self._gateway_of(arrival.request) == answered.gateway
+                and not self._ledger.was_delayed(
+                    answered.gateway, notice.at, arrival.at
+                )
             ]
-            if len(late) > most:
-                yield f"not heeded: {word} told {told.gateway}, which sent {late}"
+            if len(late) > allowed:
+                yield f"not heeded: {notice} told {answered.gateway}, which sent {late}"
 
     def _gateway_of(self, request: str) -> str:
-        made = self._tries.get(request)
-        return made.gateway if made is not None else ""
+        result = self._results.get(request)
+        return result.gateway if result is not None else ""
 
-    def _is_in_force(self, made: Try, changed_at: float) -> bool:
-        """Whether a request has to be handled as a change says.
+    def _is_in_force(self, result: CallResult, changed_at: float) -> bool:
+        """Whether a change must be in force for a request.
 
-        What disturbed the gateway before it had the time for a change excuses nothing.
+        Only disruptions in the time that a gateway has for a change, just before the
+        request, are an excuse; earlier ones are not.
         """
-        if made.sent_at <= changed_at + self._known_s:
+        if result.sent_at <= changed_at + self._known_s:
             return False
-        since = made.sent_at - self._known_s
-        return self._ledger.is_calm(made.gateway, since, made.ended_at)
+        since = result.sent_at - self._known_s
+        return self._ledger.is_calm(result.gateway, since, result.ended_at)
--- a/gaprock/test/soak_run.py
+++ b/gaprock/test/soak_run.py
@@ -1,4 +1,7 @@
-"""One seed of the soak: its steps are chosen here, and registered by ``soak_steps``."""
+"""The run of one seed of the soak test.
+
+The steps, which are faults and planned work, are registered by ``soak_steps``.
+"""
 
 import pathlib
 import random
@@ -9,48 +12,50 @@
 from gaprock.test import soak_callers, soak_fleet, soak_ledger
 
 CALLERS_PER_GATEWAY: typing.Final = 4
-# Pause between two faults, and how long one lasts, seconds.
+# Shortest and longest pause between two steps, and duration of a fault.
 FAULT_PAUSE_S: typing.Final = (0.1, 1.2)
 FAULT_S: typing.Final = (0.3, 3.0)
-# Without faults before the first and after the last one, seconds.
+# Time without faults before the first and after the last one.
 CALM_S: typing.Final = 2.0
-# Every kind of request must be served again within this long, seconds.
+# Time within which every kind of request must be served again.
 RECOVER_S: typing.Final = 15.0
-# A change is in force on a gateway that nothing disturbs within this long, seconds.
+# Time within which a change is in force on a gateway without faults.
 IN_FORCE_S: typing.Final = soak_fleet.CONFIG_S + soak_ledger.SLACK_S
 
-# One seed in so many plays planned work alone, so that all promises hold throughout.
+# Every third seed has planned work alone, so that all guarantees hold throughout.
 PLANNED_EVERY: typing.Final = 3
-# A step is followed by one more this often; those have chances of their own, so that
-# the steps of a seed that is kept stay what they were.
-BESIDE_SHARE: typing.Final = 0.3
+# Chance that a step is followed by an extra one.  Extra steps, and the groups of steps
+# below, have their own random generators, so that adding steps to them does not change
+# the other steps of a seed that tests use.
+EXTRA_SHARE: typing.Final = 0.3
 
-# Share of the seeds in which a request ends the endpoints that run it.
+# Share of the seeds in which a poison request crashes the endpoints that run it.
 POISON_SHARE: typing.Final = 0.4
 
 Step = typing.Callable[["Soak"], None]
 FAULTS: typing.Final[list[Step]] = []
 PLANNED: typing.Final[list[Step]] = []
-FAULTS_BESIDE: typing.Final[list[Step]] = []
-PLANNED_BESIDE: typing.Final[list[Step]] = []
-# What is done to rows, with chances of its own as well; the second list harms nobody.
+EXTRA_FAULTS: typing.Final[list[Step]] = []
+EXTRA_PLANNED: typing.Final[list[Step]] = []
+# Changes of rows; those of the second list affect no endpoint.
 ROW_SHARE: typing.Final = 0.3
 ROW_FAULTS: typing.Final[list[Step]] = []
-ODD_ROWS: typing.Final[list[Step]] = []
-# Work on halls, with chances of its own too.
+HARMLESS_ROWS: typing.Final[list[Step]] = []
+# Planned work on halls.
 HALL_SHARE: typing.Final = 0.15
 HALL_WORK: typing.Final[list[Step]] = []
-# Endpoints that name a rate limit, with chances of their own.
+# Endpoints that name a rate limit.
 LIMIT_SHARE: typing.Final = 0.15
 LIMIT_WORK: typing.Final[list[Step]] = []
-# Endpoints that say something else of themselves, with chances of their own.
-WORD_SHARE: typing.Final = 0.15
-WORD_WORK: typing.Final[list[Step]] = []
-# Restores of the store from a backup, with chances of their own.
+# Endpoints that shed load, or announce in their answers that they leave.
+ANNOUNCEMENT_SHARE: typing.Final = 0.15
+ANNOUNCEMENT_WORK: typing.Final[list[Step]] = []
+# Restores of the store from a backup.
 RESTORE_SHARE: typing.Final = 0.12
 RESTORES: typing.Final[list[Step]] = []
-# What an endpoint that is not warm may get in a second, by the settings' defaults.
-BEARS: typing.Final = int(1.5 * soak_fleet.BEARS_PER_S + 5)
+# Most requests a second to an endpoint that warms up, by the default values of the
+# settings ``ColdExcess`` and ``ColdSlack``.
+WARMING_PER_S: typing.Final = int(1.5 * soak_fleet.COLD_PER_S + 5)
 
 
 def fault(function: Step) -> Step:
@@ -60,20 +65,20 @@
 
 
 def planned(function: Step) -> Step:
-    """Register planned work, which is to harm nobody."""
+    """Register planned work, through which all guarantees hold."""
     PLANNED.append(function)
     return function
 
 
-def fault_beside(function: Step) -> Step:
-    """Register a fault that comes beside others."""
-    FAULTS_BESIDE.append(function)
+def extra_fault(function: Step) -> Step:
+    """Register a fault for extra steps."""
+    EXTRA_FAULTS.append(function)
     return function
 
 
-def planned_beside(function: Step) -> Step:
-    """Register planned work that comes beside other."""
-    PLANNED_BESIDE.append(function)
+def extra_planned(function: Step) -> Step:
+    """Register planned work for extra steps."""
+    EXTRA_PLANNED.append(function)
     return function
 
 
@@ -83,10 +88,10 @@
     return function
 
 
-def odd_row(function: Step) -> Step:
-    """Register rows of other writers that are to harm nobody."""
+def harmless_row(function: Step) -> Step:
+    """Register rows of other writers that affect no endpoint."""
     ROW_FAULTS.append(function)
-    ODD_ROWS.append(function)
+    HARMLESS_ROWS.append(function)
     return function
 
 
@@ -97,14 +102,14 @@
 
 
 def limit_work(function: Step) -> Step:
-    """Register what makes endpoints name a rate limit."""
+    """Register a step in which an endpoint names a rate limit."""
     LIMIT_WORK.append(function)
     return function
 
 
-def word_work(function: Step) -> Step:
-    """Register what makes endpoints shed load, or say that they leave."""
-    WORD_WORK.append(function)
+def announcement_work(function: Step) -> Step:
+    """Register a step in which an endpoint sheds load or announces its departure."""
+    ANNOUNCEMENT_WORK.append(function)
     return function
 
 
@@ -115,20 +120,20 @@
 
 
 class Soak:
-    """One seed's run."""
+    """The run of one seed."""
 
     def __init__(self, seed: int, seconds: float, gateways: int, logs: pathlib.Path):
         self.rng = random.Random(seed)
-        # Chances of what comes beside.
-        self.rng_beside = random.Random(-1 - seed)
+        # One generator for each group of steps.
+        self.rng_extra = random.Random(-1 - seed)
         self.rng_rows = random.Random(f"rows {seed}")
         self.rng_halls = random.Random(f"halls {seed}")
         self.rng_limits = random.Random(f"limits {seed}")
-        self.rng_words = random.Random(f"words {seed}")
+        self.rng_announcements = random.Random(f"words {seed}")
         self.rng_restores = random.Random(f"restores {seed}")
         self.ledger = soak_ledger.Ledger()
         self.fleet = soak_fleet.Fleet(self.ledger, logs, gateways)
-        # Held while a hall is emptied, and while the store is restored.
+        # Held while a hall is cordoned, and while the store is restored.
         self.halls_lock = threading.Lock()
         self.restore_lock = threading.Lock()
         self._seed = seed
@@ -136,7 +141,7 @@
         self._threads: list[threading.Thread] = []
 
     def run(self) -> list[str]:
-        """Play the seed and give what was broken."""
+        """Run the seed and return the violations of guarantees."""
         with self.fleet:
             if not self.fleet.wait_ready():
                 return ["start: not all gateways became ready"]
@@ -145,22 +150,22 @@
             callers = [soak_callers.Caller(self.fleet, seed) for seed in seeds]
             time.sleep(CALM_S)
             poison = self._start_poison()
-            self._disturb()
-            broken = self._recover()
+            self._run_steps()
+            violations = self._recover()
             if poison is not None:
                 poison.stop()
             for caller in callers:
                 caller.stop()
             if not all([caller.join() for caller in callers]):
-                broken.append("a caller's request never ended")
+                violations.append("a caller's request never ended")
         judge = soak_ledger.Judge(
             self.ledger,
             soak_fleet.DRAIN_S,
             soak_fleet.CONFIG_S,
-            soak_fleet.EMPTIED_S,
-            BEARS,
+            soak_fleet.CORDON_S,
+            WARMING_PER_S,
         )
-        return broken + judge.broken()
+        return violations + judge.violations()
 
     def _start_poison(self) -> soak_callers.PoisonCaller | None:
         rng = random.Random(f"with poison {self._seed}")
@@ -168,13 +173,13 @@
             return None
         return soak_callers.PoisonCaller(self.fleet, self._seed)
 
-    def later(self, work: typing.Callable[[], None]) -> None:
-        """Do something on a thread of its own, so that faults overlap."""
+    def run_in_thread(self, work: typing.Callable[[], None]) -> None:
+        """Run a function on a new thread, so that faults can overlap."""
         thread = threading.Thread(target=work, daemon=True)
         self._threads.append(thread)
         thread.start()
 
-    def during(
+    def disrupt(
         self,
         what: str,
         target: str,
@@ -182,40 +187,47 @@
         end: typing.Callable[[], object],
         rng: random.Random | None = None,
     ) -> None:
-        """Begin a disturbance now, end it later, and write it down."""
-        lasts_s = (rng or self.rng).uniform(*FAULT_S)
+        """Begin a fault now, end it after a random time, and record it.
+
+        :param what: the kind of fault, as the summary prints it.
+        :param target: the name of the gateway that it affects, or ``ALL``.
+        :param rng: draws the duration; by default the generator of usual steps.
+        """
+        duration_s = (rng or self.rng).uniform(*FAULT_S)
 
         def work() -> None:
             start = self.ledger.now()
-            # It is written down before it begins, so that a check never misses it.
-            mark = soak_ledger.Disturbance(what, target, False, start, start + 3600)
-            self.ledger.add(mark)
+            # Recorded before it begins, so that no check misses its first moments.
+            disruption = soak_ledger.Disruption(
+                what, target, False, start, start + 3600
+            )
+            self.ledger.add(disruption)
             begin()
-            time.sleep(lasts_s)
+            time.sleep(duration_s)
             end()
-            over = mark._replace(end=self.ledger.now())
-            self.ledger.replace(mark, over)
+            ended = disruption._replace(end=self.ledger.now())
+            self.ledger.replace(disruption, ended)
 
-        self.later(work)
+        self.run_in_thread(work)
 
-    def _disturb(self) -> None:
-        steps, beside = FAULTS + PLANNED, FAULTS_BESIDE + PLANNED_BESIDE
+    def _run_steps(self) -> None:
+        steps, extra = FAULTS + PLANNED, EXTRA_FAULTS + EXTRA_PLANNED
         rows = ROW_FAULTS
         if self._seed % PLANNED_EVERY == 0:
-            steps, beside, rows = PLANNED, PLANNED_BESIDE, ODD_ROWS
+            steps, extra, rows = PLANNED, EXTRA_PLANNED, HARMLESS_ROWS
         until = time.monotonic() + self._seconds
         while time.monotonic() < until:
             self.rng.choice(steps)(self)
-            if self.rng_beside.random() < BESIDE_SHARE:
-                self.rng_beside.choice(beside)(self)
+            if self.rng_extra.random() < EXTRA_SHARE:
+                self.rng_extra.choice(extra)(self)
             if self.rng_rows.random() < ROW_SHARE:
                 self.rng_rows.choice(rows)(self)
             if self.rng_halls.random() < HALL_SHARE:
                 self.rng_halls.choice(HALL_WORK)(self)
             if self.rng_limits.random() < LIMIT_SHARE:
                 self.rng_limits.choice(LIMIT_WORK)(self)
-            if self.rng_words.random() < WORD_SHARE:
-                self.rng_words.choice(WORD_WORK)(self)
+            if self.rng_announcements.random() < ANNOUNCEMENT_SHARE:
+                self.rng_announcements.choice(ANNOUNCEMENT_WORK)(self)
             if rows is ROW_FAULTS and self.rng_restores.random() < RESTORE_SHARE:
                 self.rng_restores.choice(RESTORES)(self)
             time.sleep(self.rng.uniform(*FAULT_PAUSE_S))
@@ -223,7 +235,7 @@
             thread.join(soak_fleet.STOP_WAIT_S)
 
     def _recover(self) -> list[str]:
-        """End all faults and wait until everything is served again."""
+        """End all faults, wait until everything is served again, return violations."""
         self.fleet.heal()
         key_due_at = time.monotonic() + soak_ledger.CALM_AFTER_S + IN_FORCE_S
         key = self.fleet.add_key()
@@ -238,28 +250,28 @@
         }
         while missing and time.monotonic() < deadline:
             missing = {(g, k) for g, k in missing if not self._serves(g, k)}
-        behind = self._behind(key, key_due_at)
+        lagging = self._lagging(key, key_due_at)
         time.sleep(CALM_S)
         return [
             *(f"recovery: {g.name} does not serve {kind}" for g, kind in missing),
-            *(f"recovery: {g.name} does not take a new key" for g in behind),
+            *(f"recovery: {g.name} does not take a new key" for g in lagging),
         ]
 
-    def _behind(self, key: str, due_at: float) -> list[soak_fleet.GatewayProcess]:
-        """Give the gateways that do not take a key by the time at which it is due."""
-        behind = list(self.fleet.gateways)
-        while behind:
+    def _lagging(self, key: str, due_at: float) -> list[soak_fleet.GatewayProcess]:
+        """Return the gateways that still do not accept a key when it is due."""
+        lagging = list(self.fleet.gateways)
+        while lagging:
             is_last = time.monotonic() >= due_at
-            behind = [g for g in behind if not self._serves(g, "safe", key)]
+            lagging = [g for g in lagging if not self._serves(g, "safe", key)]
             if is_last:
                 break
-        return behind
+        return lagging
 
     def _serves(
         self, gateway: soak_fleet.GatewayProcess, kind: str, key: str = ""
     ) -> bool:
         conn = soak_callers.connect(gateway)
         rng = random.Random()
-        made = soak_callers.call(self.fleet, gateway, conn, kind, rng, key)
+        result = soak_callers.call(self.fleet, gateway, conn, kind, rng, key)
         conn.close()
-        return made.status == 200 and made.whole
+        return result.status == 200 and result.is_complete
--- a/gaprock/test/soak_steps.py
+++ b/gaprock/test/soak_steps.py
@@ -1,4 +1,4 @@
-"""What a soak does to its processes, store, endpoints, rows, and as the operator."""
+"""The steps of a soak test: faults, planned work, and the operator's changes."""
 
 import random
 import signal
@@ -8,26 +8,26 @@
 from gaprock.test import soak_fleet, soak_ledger, soak_run
 
 SIGNAL_GAP_S: typing.Final = 0.2
-# How long a hall is emptied, seconds: some longer than it takes to be in force.
-EMPTIED_FOR_S: typing.Final = (0.5, 7.0)
+# How long a hall is cordoned; some longer than the order takes to be in force.
+CORDONED_FOR_S: typing.Final = (0.5, 7.0)
 
 
-# How long an endpoint names a rate limit, seconds, and the limits, requests a second.
+# How long an endpoint names a rate limit, and the limits, requests a second.
 LIMITED_FOR_S: typing.Final = (4.0, 8.0)
 LIMITS: typing.Final = (0.0, 1.0, 2.5, 4.0)
 
 
-# How long an endpoint sheds load, and the backoffs that it asks for, seconds.
+# How long an endpoint sheds load, and the backoffs that it asks for.
 SHEDS_FOR_S: typing.Final = (0.5, 4.0)
 BACKOFFS_S: typing.Final = (0.25, 1.0, 3.0)
 
 
-# How long the store is away before a restore, seconds, the most transactions that it
-# loses, the tables whose rows are written again, and after which time at most, seconds.
+# A restore: how long the store is unreachable before it, the most transactions that it
+# loses, the tables whose rows are written again, and the longest time until they are.
 AWAY_S: typing.Final = (0.0, 2.0)
-MOST_LOST: typing.Final = 8
-WRITTEN_AGAIN: typing.Final = ("op", "servers")
-AGAIN_S: typing.Final = 2.0
+MAX_LOST: typing.Final = 8
+REWRITTEN_TABLES: typing.Final = ("op", "servers")
+REWRITE_WITHIN_S: typing.Final = 2.0
 
 
 # -- Faults of processes --
@@ -43,18 +43,18 @@
         try:
             start = soak.ledger.now()
             what = signal.Signals(number).name
-            mark = soak_ledger.Disturbance(
+            disruption = soak_ledger.Disruption(
                 what, gateway.name, is_planned, start, start + 3600
             )
-            soak.ledger.add(mark)
+            soak.ledger.add(disruption)
             gateway.end(number)
             time.sleep(pause_s)
             gateway.start()
-            soak.ledger.replace(mark, mark._replace(end=soak.ledger.now()))
+            soak.ledger.replace(disruption, disruption._replace(end=soak.ledger.now()))
         finally:
             gateway.lock.release()
 
-    soak.later(work)
+    soak.run_in_thread(work)
 
 
 @soak_run.fault
@@ -65,15 +65,15 @@
 
 @soak_run.planned
 def planned_stop(soak: soak_run.Soak) -> None:
-    """A gateway is told to stop, and started again when it is gone."""
+    """A gateway gets SIGTERM, and is started again after its exit."""
     _restart(soak, signal.SIGTERM, is_planned=True)
 
 
 @soak_run.fault
 def pause(soak: soak_run.Soak) -> None:
-    """A gateway stands still for a while."""
+    """A gateway process is suspended for a while."""
     gateway = soak.rng.choice(soak.fleet.gateways)
-    soak.during(
+    soak.disrupt(
         "pause",
         gateway.name,
         lambda: gateway.signal(signal.SIGSTOP),
@@ -83,7 +83,7 @@
 
 @soak_run.planned
 def settings_change(soak: soak_run.Soak) -> None:
-    """The settings file changes, and the process is told, now and then twice."""
+    """The settings file changes and the process gets SIGHUP, sometimes twice."""
     gateway = soak.rng.choice(soak.fleet.gateways)
     gateway.write_settings(soak_fleet.GRACE_S + soak.rng.choice([0, 1]))
     gateway.signal(signal.SIGHUP)
@@ -97,12 +97,12 @@
 
 @soak_run.fault
 def store_fault(soak: soak_run.Soak) -> None:
-    """The store refuses, is slow, or loses its answers."""
+    """The store refuses requests, is slow, or loses its answers."""
     name, value = soak.rng.choice(
         [("refuse", 503), ("refuse", 429), ("delay", 0.6), ("lose", True)]
     )
     faults = soak.fleet.store.faults
-    soak.during(
+    soak.disrupt(
         f"store {name}",
         soak_ledger.ALL,
         lambda: faults.update({name: value}),
@@ -111,14 +111,14 @@
 
 
 @soak_run.planned
-def store_forgets(soak: soak_run.Soak) -> None:
-    """The store forgets its history."""
+def store_discards_history(soak: soak_run.Soak) -> None:
+    """The store discards its history of changes."""
     soak.fleet.store.compact()
 
 
 @soak_run.fault
 def store_clock(soak: soak_run.Soak) -> None:
-    """The store's clock jumps ahead for good."""
+    """The store's clock jumps ahead permanently."""
     jump_ms = soak.rng.randrange(5000)
     old = soak.fleet.store.now_ms
     soak.fleet.store.now_ms = lambda: old() + jump_ms
@@ -126,89 +126,92 @@
 
 @soak_run.fault
 def store_cut(soak: soak_run.Soak) -> None:
-    """One gateway's way to the store is silent, one-way, slow, or reset."""
+    """One gateway's connections to the store are silent, one-way, slow, or reset."""
     gateway = soak.rng.choice(soak.fleet.gateways)
-    _disturb_relay(soak, gateway.store_relay, gateway.name)
+    _disrupt_proxy(soak, gateway.store_proxy, gateway.name)
 
 
-def _disturb_relay(soak: soak_run.Soak, relay: typing.Any, target: str) -> None:
+def _disrupt_proxy(soak: soak_run.Soak, proxy: typing.Any, target: str) -> None:
     how = soak.rng.choice(["silent", "to-target", "to-caller", "slow", "reset"])
-    begin: typing.Callable[[], object] = relay.reset
+    begin: typing.Callable[[], object] = proxy.reset
     if how == "silent":
-        begin = relay.data_flows.clear
+        begin = proxy.data_flows.clear
     elif how == "slow":
         delay_s = soak.rng.uniform(0.05, 0.3)
 
         def begin() -> None:
-            relay.delay_s = delay_s
+            proxy.delay_s = delay_s
 
     elif how != "reset":
 
         def begin() -> None:
-            relay.held.add(how)
+            proxy.held.add(how)
 
-    soak.during(f"relay {how}", target, begin, relay.heal)
+    soak.disrupt(f"relay {how}", target, begin, proxy.heal)
 
 
-@soak_run.fault_beside
-def store_swallows(soak: soak_run.Soak) -> None:
-    """What comes to the store is never answered, from just after a change on."""
+@soak_run.extra_fault
+def store_stops_answering(soak: soak_run.Soak) -> None:
+    """Just after a change, the store stops answering requests that it receives."""
     faults = soak.fleet.store.faults
     soak.fleet.publish()
-    soak.during(
+    soak.disrupt(
         "store swallow",
         soak_ledger.ALL,
         lambda: faults.update(swallow=True),
         lambda: faults.pop("swallow", None),
-        soak.rng_beside,
+        soak.rng_extra,
     )
 
 
-@soak_run.fault_beside
+@soak_run.extra_fault
 def connections_go_silent(soak: soak_run.Soak) -> None:
-    """Open connections to the store or an endpoint are silent for good."""
-    relays = [gateway.store_relay for gateway in soak.fleet.gateways]
-    relays += [endpoint.relay for endpoint in list(soak.fleet.endpoints.values())]
-    for relay in soak.rng_beside.sample(relays, soak.rng_beside.randint(1, 3)):
-        soak.during(
+    """Open connections to the store or endpoints become silent permanently."""
+    proxies = [gateway.store_proxy for gateway in soak.fleet.gateways]
+    proxies += [endpoint.proxy for endpoint in list(soak.fleet.endpoints.values())]
+    for proxy in soak.rng_extra.sample(proxies, soak.rng_extra.randint(1, 3)):
+        soak.disrupt(
             "relay mute",
             soak_ledger.ALL,
-            relay.silence_connections,
+            proxy.silence_connections,
             lambda: None,
-            soak.rng_beside,
+            soak.rng_extra,
         )
 
 
 @soak_run.restore
 def store_restored(soak: soak_run.Soak) -> None:
-    """The store is away for a moment and comes back without its latest writes.
+    """The store is unreachable for a moment and is back without its latest writes.
 
-    The operator and the endpoints write theirs again, the gateways' are gone.
+    The lost rows of the operator and of endpoints are written again after a while,
+    those of gateways are not.
     """
     rng, store = soak.rng_restores, soak.fleet.store
     away_s = rng.uniform(*AWAY_S)
-    count = rng.randint(0, MOST_LOST)
-    again_s = [rng.uniform(0.0, AGAIN_S) for _ in range(MOST_LOST)]
+    count = rng.randint(0, MAX_LOST)
+    rewrite_delays_s = [rng.uniform(0.0, REWRITE_WITHIN_S) for _ in range(MAX_LOST)]
 
     def work() -> None:
         with soak.restore_lock:
             start = soak.ledger.now()
-            mark = soak_ledger.Disturbance(
+            disruption = soak_ledger.Disruption(
                 "store restored", soak_ledger.ALL, False, start, start + 3600
             )
-            soak.ledger.add(mark)
+            soak.ledger.add(disruption)
             store.faults["away"] = True
             time.sleep(away_s)
             lost = store.restore(max(1, store.version - count))
             epoch = store.epoch
             store.faults.pop("away", None)
-            theirs = [item for item in lost.items() if item[0][0] in WRITTEN_AGAIN]
-            for pause_s, (name, value) in sorted(zip(again_s, theirs)):
+            rewritten = [
+                item for item in lost.items() if item[0][0] in REWRITTEN_TABLES
+            ]
+            for pause_s, (name, value) in sorted(zip(rewrite_delays_s, rewritten)):
                 time.sleep(max(0.0, start + away_s + pause_s - soak.ledger.now()))
                 store.rewrite_after_restore(name, value, epoch)
-            soak.ledger.replace(mark, mark._replace(end=soak.ledger.now()))
+            soak.ledger.replace(disruption, disruption._replace(end=soak.ledger.now()))
 
-    soak.later(work)
+    soak.run_in_thread(work)
 
 
 # -- Faults and planned work of endpoints --
@@ -218,17 +221,17 @@
 def endpoint_cut(soak: soak_run.Soak) -> None:
     """An endpoint's connections are silent, one-way, slow, or reset."""
     endpoint = soak.rng.choice(list(soak.fleet.endpoints.values()))
-    _disturb_relay(soak, endpoint.relay, soak_ledger.ALL)
+    _disrupt_proxy(soak, endpoint.proxy, soak_ledger.ALL)
 
 
 @soak_run.fault
 def endpoint_fails(soak: soak_run.Soak) -> None:
-    """An endpoint fails or refuses part of its requests, or is slow."""
+    """An endpoint fails or refuses a share of its requests, or is slow."""
     endpoint = soak.rng.choice(list(soak.fleet.endpoints.values()))
     name, value = soak.rng.choice(
         [("failing", 0.5), ("failing", 1.0), ("refusing", 0.6), ("slow_s", 0.4)]
     )
-    soak.during(
+    soak.disrupt(
         f"endpoint {name}",
         soak_ledger.ALL,
         lambda: setattr(endpoint, name, value),
@@ -238,11 +241,11 @@
 
 @soak_run.fault
 def endpoint_crash(soak: soak_run.Soak) -> None:
-    """An endpoint is gone at once; its row goes later; another one comes."""
+    """An endpoint crashes and is replaced at once; its row is removed later."""
     endpoint = soak.rng.choice(list(soak.fleet.endpoints.values()))
     if soak.fleet.endpoints.pop(endpoint.name, None) is None:
         return
-    soak.during(
+    soak.disrupt(
         "endpoint crash",
         soak_ledger.ALL,
         endpoint.stop,
@@ -253,10 +256,10 @@
 
 @soak_run.planned
 def endpoint_leaves(soak: soak_run.Soak) -> None:
-    """An endpoint is replaced: the new one first, then the old one drains."""
+    """An endpoint is replaced: the new one starts, then the old one drains."""
 
     def leave(endpoint: soak_fleet.Endpoint) -> None:
-        endpoint.row_s = "draining"
+        endpoint.row_state = "draining"
         soak.fleet.write_row(endpoint)
         soak.ledger.leaving[endpoint.name] = soak.ledger.now()
 
@@ -270,7 +273,7 @@
 ) -> None:
     """Replace an endpoint.
 
-    :param leave: has it say that it leaves.
+    :param leave: makes the endpoint announce that it leaves.
     """
     endpoint = rng.choice(list(soak.fleet.endpoints.values()))
     if soak.fleet.endpoints.pop(endpoint.name, None) is None:
@@ -279,47 +282,47 @@
 
     def work() -> None:
         leave(endpoint)
-        # It serves on longer than it says, as some do.
+        # Some endpoints serve for longer than they announce, so this one does too.
         time.sleep(soak_fleet.DRAIN_S + 2 * soak_ledger.SLACK_S)
         soak.fleet.store.remove("servers", endpoint.name)
         endpoint.stop()
 
-    soak.later(work)
+    soak.run_in_thread(work)
 
 
 @soak_run.row_fault
-def endpoint_starts_again(soak: soak_run.Soak) -> None:
-    """An endpoint crashes and is back at once under its id; its row never goes."""
+def endpoint_restarts(soak: soak_run.Soak) -> None:
+    """An endpoint crashes and restarts at once with the same id; its row stays."""
     endpoint = soak.rng_rows.choice(list(soak.fleet.endpoints.values()))
     cut = soak.rng_rows.choice(
-        [endpoint.relay.reset, endpoint.relay.silence_connections]
+        [endpoint.proxy.reset, endpoint.proxy.silence_connections]
     )
 
     def begin() -> None:
         cut()
         endpoint.born += 1
-        soak.fleet.beat_row(endpoint)
+        soak.fleet.heartbeat_row(endpoint)
 
-    soak.during("endpoint again", soak_ledger.ALL, begin, lambda: None, soak.rng_rows)
+    soak.disrupt("endpoint again", soak_ledger.ALL, begin, lambda: None, soak.rng_rows)
 
 
 @soak_run.row_fault
-def row_written_over(soak: soak_run.Soak) -> None:
-    """Another writer writes over an endpoint's row, until its next heartbeat."""
+def row_overwritten(soak: soak_run.Soak) -> None:
+    """Another writer overwrites an endpoint's row until its next heartbeat."""
     endpoint = soak.rng_rows.choice(list(soak.fleet.endpoints.values()))
-    soak.during(
+    soak.disrupt(
         "row written over",
         soak_ledger.ALL,
-        lambda: soak.fleet.write_odd_row(endpoint.name, soak.rng_rows),
-        lambda: soak.fleet.beat_row(endpoint),
+        lambda: soak.fleet.write_invalid_row(endpoint.name, soak.rng_rows),
+        lambda: soak.fleet.heartbeat_row(endpoint),
         soak.rng_rows,
     )
 
 
-@soak_run.odd_row
+@soak_run.harmless_row
 def row_of_another_writer(soak: soak_run.Soak) -> None:
-    """Another writer leaves a row that names nothing, for good."""
-    soak.fleet.write_odd_row(f"odd{soak.rng_rows.randrange(9)}", soak.rng_rows)
+    """Another writer adds an invalid row, which stays."""
+    soak.fleet.write_invalid_row(f"odd{soak.rng_rows.randrange(9)}", soak.rng_rows)
 
 
 # -- The operator --
@@ -327,91 +330,93 @@
 
 @soak_run.planned
 def config_change(soak: soak_run.Soak) -> None:
-    """Newer configurations come, now and then in quick succession."""
+    """The operator publishes a configuration, sometimes several in quick succession."""
     for _ in range(soak.rng.choice([1, 1, 4])):
         soak.fleet.publish()
 
 
 @soak_run.planned
-def key_taken_away(soak: soak_run.Soak) -> None:
-    """A key is taken away for good."""
+def key_revoked(soak: soak_run.Soak) -> None:
+    """The operator revokes a key permanently."""
     if len(soak.fleet.keys) > 1:
         key = soak.fleet.keys.pop()
         soak.fleet.publish()
         soak.ledger.revoked[key] = soak.ledger.now()
 
 
-@soak_run.planned_beside
+@soak_run.extra_planned
 def key_added(soak: soak_run.Soak) -> None:
-    """A new key comes."""
+    """The operator adds a key."""
     soak.fleet.add_key()
 
 
 @soak_run.hall_work
-def hall_emptied(soak: soak_run.Soak) -> None:
-    """The second hall is emptied, and taken back; the first one has endpoints left."""
+def hall_cordoned(soak: soak_run.Soak) -> None:
+    """The second hall is cordoned for a while; the first one still has endpoints."""
     hall = soak_fleet.HALLS[1]
-    lasts_s = soak.rng_halls.uniform(*EMPTIED_FOR_S)
+    duration_s = soak.rng_halls.uniform(*CORDONED_FOR_S)
 
     def work() -> None:
         with soak.halls_lock:
             soak.fleet.store.put("op", f"evacuate/{hall}", {})
             at = soak.ledger.now()
-            time.sleep(lasts_s)
-            # Whoever hears at once that it is over may send at once.
-            back_at = soak.ledger.now()
+            time.sleep(duration_s)
+            # A gateway may send again as soon as it learns of the removal.
+            withdrawn_at = soak.ledger.now()
             soak.fleet.store.remove("op", f"evacuate/{hall}")
-            soak.ledger.emptied.append(soak_ledger.Emptied(hall, at, back_at))
+            soak.ledger.cordons.append(soak_ledger.Cordon(hall, at, withdrawn_at))
 
-    soak.later(work)
+    soak.run_in_thread(work)
 
 
-# -- Endpoints in need --
+# -- Endpoints that name a rate limit --
 
 
 @soak_run.limit_work
-def endpoint_in_need(soak: soak_run.Soak) -> None:
+def endpoint_names_limit(soak: soak_run.Soak) -> None:
     """An endpoint names a rate limit in all of its answers for a while."""
     endpoint = soak.rng_limits.choice(list(soak.fleet.endpoints.values()))
-    lasts_s = soak.rng_limits.uniform(*LIMITED_FOR_S)
+    duration_s = soak.rng_limits.uniform(*LIMITED_FOR_S)
     per_s = soak.rng_limits.choice(LIMITS)
 
     def work() -> None:
-        # One limit at a time: the end of one would end the other unseen.
+        # One limit at a time: the end of one would also end the other, unrecorded.
         with endpoint.limit_lock:
             at = soak.ledger.now()
             endpoint.limit = f"{per_s}"
-            time.sleep(lasts_s)
+            time.sleep(duration_s)
             until = soak.ledger.now()
             endpoint.limit = ""
-        soak.ledger.limited.append(soak_ledger.Limited(endpoint.name, per_s, at, until))
+        soak.ledger.limit_periods.append(
+            soak_ledger.LimitPeriod(endpoint.name, per_s, at, until)
+        )
 
-    soak.later(work)
+    soak.run_in_thread(work)
 
 
-# -- Endpoints that leave in their answers alone, or shed load --
+# -- Endpoints that announce a departure only in answers, or shed load --
 
 
-@soak_run.word_work
-def endpoint_says_that_it_leaves(soak: soak_run.Soak) -> None:
-    """An endpoint is replaced, and its row never says so."""
+@soak_run.announcement_work
+def endpoint_announces_departure(soak: soak_run.Soak) -> None:
+    """An endpoint is replaced and announces it in answers, but not in its row."""
 
     def leave(endpoint: soak_fleet.Endpoint) -> None:
-        endpoint.says_leaving = True
+        endpoint.announces_leaving = True
 
-    _replace(soak, soak.rng_words, leave)
+    _replace(soak, soak.rng_announcements, leave)
 
 
-@soak_run.word_work
+@soak_run.announcement_work
 def endpoint_sheds(soak: soak_run.Soak) -> None:
-    """An endpoint turns all requests away for a while, and asks for a backoff."""
-    endpoint = soak.rng_words.choice(list(soak.fleet.endpoints.values()))
-    lasts_s = soak.rng_words.uniform(*SHEDS_FOR_S)
-    backoff_s = soak.rng_words.choice(BACKOFFS_S)
+    """An endpoint refuses all requests for a while and asks for a backoff."""
+    endpoint = soak.rng_announcements.choice(list(soak.fleet.endpoints.values()))
+    duration_s = soak.rng_announcements.uniform(*SHEDS_FOR_S)
+    backoff_s = soak.rng_announcements.choice(BACKOFFS_S)
 
     def work() -> None:
         endpoint.backoff_s = backoff_s
-        time.sleep(lasts_s)
+        time.sleep(duration_s)
         endpoint.backoff_s = 0.0
 
-    soak.later(work)
+    soak.run_in_thread(work)
--- a/gaprock/test/testsoak.py
+++ b/gaprock/test/testsoak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak, the seeds that ever failed, and the soak's own judgement."""
+"""Runs short soak tests, with seeds that once failed, and tests the soak's judge."""
 
 import pathlib
 import typing
@@ -9,16 +9,16 @@
 
 SHORT_S: typing.Final = 6.0
 GATEWAYS: typing.Final = 3
-# Seeds that a soak by hand found something with; each names the test of its cause too.
-# 1000: a SIGTERM that met a paused process was taken by a thread that does not wake the
-#   main one (testsignals, a stop that meets a paused process).
+# Seeds that once found a fault, with the test module that covers its cause.
+# 1000: a SIGTERM sent to a paused process was handled by a thread that does not wake
+#   the main one (testsignals, a stop that meets a paused process).
 # 1031: a SIGHUP during the start ended the process (testsignals, during the start).
-# 2022: a stream taken 1.7 s after SIGTERM was cut at the end of a grace time of 5 s,
-#   shorter than its own 3.6 s allow; the soak's grace time is that of the sites now.
-# 5002: a change just before the store swallowed what came, then new keys, refused for
-#   30 s by all gateways (testfreshness).
-# 9803, 9806: two limits of one endpoint overlapped, and the end of the first one ended
-#   the second unseen; an endpoint names one at a time now.
+# 2022: a stream accepted 1.7 s after SIGTERM was cut at the end of a grace time of 5 s,
+#   too short for its 3.6 s; the soak test therefore has the grace time of the sites.
+# 5002: a change was published just before the store stopped answering; all gateways
+#   then refused new keys for 30 s (testfreshness).
+# 9803, 9806: two rate limits of one endpoint overlapped, and the end of the first one
+#   also ended the second, unrecorded; an endpoint therefore names one at a time.
 FAILED: typing.Final = (1000, 1031, 2022, 5002, 9803, 9806)
 SEEDS: typing.Final = (1, *FAILED)
 
@@ -27,95 +27,103 @@
 def test_the_promises_are_kept_through_faults(
     seed: int, tmp_path: pathlib.Path
 ) -> None:
-    assert not soak.play(seed, SHORT_S, GATEWAYS, tmp_path)
+    assert not soak.run_seed(seed, SHORT_S, GATEWAYS, tmp_path)
 
 
-def made(request: str, kind: str, status: int, **more: object) -> soak_ledger.Try:
-    usual = soak_ledger.Try(
+def call_result(
+    request: str, kind: str, status: int, **more: object
+) -> soak_ledger.CallResult:
+    default = soak_ledger.CallResult(
         request, kind, "key", "g1#1", 10.0, 11.0, 14.0, status, True, True, ()
     )
-    return usual._replace(**more)  # type: ignore[arg-type]
+    return default._replace(**more)  # type: ignore[arg-type]
 
 
 def run(request: str, kind: str, at: float = 10.5) -> soak_ledger.Run:
     return soak_ledger.Run(request, kind, "e1", at, "ws", False, True)
 
 
-def judged(*items: soak_ledger.Try | soak_ledger.Run | soak_ledger.Disturbance) -> str:
+def judged(
+    *items: soak_ledger.CallResult | soak_ledger.Run | soak_ledger.Disruption,
+) -> str:
     ledger = soak_ledger.Ledger()
     for item in items:
         ledger.add(item)
-        if isinstance(item, soak_ledger.Try):
-            ledger.note_sent(item.request, item.kind)
+        if isinstance(item, soak_ledger.CallResult):
+            ledger.record_sent(item.request, item.kind)
     ledger.leaving["e1"] = 5.0 if any(i == LATE_RUN for i in items) else 100.0
     ledger.revoked["old"] = ledger.added["new"] = 1.0
     ledger.revoked["both"] = ledger.added["both"] = 1.0
-    return " ".join(soak_ledger.Judge(ledger, 2.0, 2.0).broken())
+    return " ".join(soak_ledger.Judge(ledger, 2.0, 2.0).violations())
 
 
 LATE_RUN: typing.Final = run("late", "safe", 19.0)
-KILL: typing.Final = soak_ledger.Disturbance("kill", "g1", False, 9.0, 9.5)
-STOP: typing.Final = soak_ledger.Disturbance("stop", "g1", True, 9.0, 9.5)
+KILL: typing.Final = soak_ledger.Disruption("kill", "g1", False, 9.0, 9.5)
+STOP: typing.Final = soak_ledger.Disruption("stop", "g1", True, 9.0, 9.5)
 
 
-def test_the_judgement_finds_what_is_broken() -> None:
-    assert not judged(made("a", "unsafe", 200), run("a", "unsafe"))
+def test_the_judge_reports_each_kind_of_violation() -> None:
+    assert not judged(call_result("a", "unsafe", 200), run("a", "unsafe"))
     assert "unasked" in judged(run("b", "safe"))
     assert "twice" in judged(
-        made("a", "unsafe", 502), run("a", "unsafe"), run("a", "unsafe", 10.6)
+        call_result("a", "unsafe", 502), run("a", "unsafe"), run("a", "unsafe", 10.6)
     )
-    assert "false refusal" in judged(made("a", "unsafe", 503), run("a", "unsafe"))
-    assert "out of order" in judged(made("a", "gen", 200, events=(1, 3)))
-    assert "wrong answer" in judged(made("a", "safe", 200, right=False))
-    assert "leaving" in judged(made("late", "safe", 200), LATE_RUN)
-    assert "revoked" in judged(made("a", "safe", 200, key="old"), run("a", "safe"))
-    refused = made("a", "safe", 401, key="old", ended_at=9.0, sent_at=8.0)
-    assert "went back" in judged(refused, made("c", "safe", 200, key="old"))
+    assert "false refusal" in judged(
+        call_result("a", "unsafe", 503), run("a", "unsafe")
+    )
+    assert "out of order" in judged(call_result("a", "gen", 200, events=(1, 3)))
+    assert "wrong answer" in judged(call_result("a", "safe", 200, is_correct=False))
+    assert "leaving" in judged(call_result("late", "safe", 200), LATE_RUN)
+    assert "revoked" in judged(
+        call_result("a", "safe", 200, key="old"), run("a", "safe")
+    )
+    refused = call_result("a", "safe", 401, key="old", ended_at=9.0, sent_at=8.0)
+    assert "went back" in judged(refused, call_result("c", "safe", 200, key="old"))
     early = refused._replace(key="both", sent_at=1.5)
-    again = made("c", "safe", 200, key="both")
+    again = call_result("c", "safe", 200, key="both")
     assert "went back" not in judged(early, again)
     assert "went back" in judged(early._replace(sent_at=8.0), again)
-    assert "added key" in judged(made("a", "safe", 401, key="new"))
-    assert "added key" not in judged(made("a", "safe", 401, key="new"), KILL)
+    assert "added key" in judged(call_result("a", "safe", 401, key="new"))
+    assert "added key" not in judged(call_result("a", "safe", 401, key="new"), KILL)
 
 
-def test_the_judgement_finds_a_poison_request_that_runs_on() -> None:
+def test_the_judge_reports_a_poison_request_that_still_runs() -> None:
     ledger = soak_ledger.Ledger()
     for number in range(9):
         at = 10.0 + 2 * number
         ledger.poisoned.append((at, f"p{number}"))
-        ledger.add(made(f"p{number}", "safe", 502, sent_at=at, ended_at=at))
+        ledger.add(call_result(f"p{number}", "safe", 502, sent_at=at, ended_at=at))
     judge = soak_ledger.Judge(ledger, 2.0, 2.0)
     assert [line[:15] for line in judge._poison()] == ["poison: 4 sends"]
     ledger.poisoned.pop()
     assert list(judge._poison()) == []
 
 
-def test_the_judgement_knows_what_is_calm() -> None:
-    cut = made("a", "gen", 200, whole=False)
+def test_the_judge_excuses_cut_and_late_answers_only_near_unplanned_faults() -> None:
+    cut = call_result("a", "gen", 200, is_complete=False)
     assert "cut" in judged(cut, run("a", "gen"))
     assert "cut" in judged(cut, run("a", "gen"), STOP)
     assert "cut" not in judged(cut, run("a", "gen"), KILL)
-    late = made("a", "safe", 504, ended_at=17.0)
+    late = call_result("a", "safe", 504, ended_at=17.0)
     assert "late" in judged(late)
     assert "late" not in judged(late, KILL)
 
 
-def test_the_judgement_finds_requests_in_emptied_halls() -> None:
+def test_the_judge_reports_requests_in_cordoned_halls() -> None:
     ledger = soak_ledger.Ledger()
     ledger.add_endpoint("e1", "h2", 0.0, 0.0)
-    ledger.emptied.append(soak_ledger.Emptied("h2", 10.0, 20.0))
+    ledger.cordons.append(soak_ledger.Cordon("h2", 10.0, 20.0))
     for number, at in enumerate((9.0, 13.9, 14.1, 19.0, 20.1)):
-        ledger.add(made(f"r{number}", "safe", 200))
+        ledger.add(call_result(f"r{number}", "safe", 200))
         ledger.add(run(f"r{number}", "safe", at))
     judge = soak_ledger.Judge(ledger, 2.0, 2.0, 2.0)
-    assert [line[-2:] for line in judge._emptied_halls()] == ["r2", "r3"]
+    assert [line[-2:] for line in judge._cordoned_halls()] == ["r2", "r3"]
 
 
-def test_the_judgement_finds_endpoints_that_get_more_than_they_name() -> None:
+def test_the_judge_reports_endpoints_above_their_rate_limit() -> None:
     ledger = soak_ledger.Ledger()
-    ledger.limited.append(soak_ledger.Limited("e1", 2.0, 10.0, 20.0))
-    # Before it is known, and after it is over, any number may come.
+    ledger.limit_periods.append(soak_ledger.LimitPeriod("e1", 2.0, 10.0, 20.0))
+    # Before the limit is known and after it has ended, any number may arrive.
     ledger.arrivals["e1"] = [11.0] * 50 + [14.0 + 0.2 * n for n in range(17)]
     ledger.arrivals["e1"] += [20.1] * 50
     judge = soak_ledger.Judge(ledger, 2.0, 2.0)
@@ -124,14 +132,14 @@
     assert [line[:18] for line in judge._rate_limits()] == ["rate limit: e1 got"]
 
 
-def test_the_judgement_finds_endpoints_that_get_more_than_they_bear() -> None:
+def test_the_judge_reports_overload_during_a_warm_up() -> None:
     ledger = soak_ledger.Ledger()
     ledger.add_endpoint("e1", "h1", 10.0, 12.0)
     ledger.arrivals["e1"] = [10.0 + 0.1 * n for n in range(20)]
-    assert not list(soak_ledger.Judge(ledger, 2.0, 2.0, 2.0, 10)._not_warm())
-    assert list(soak_ledger.Judge(ledger, 2.0, 2.0, 2.0, 9)._not_warm())
+    assert not list(soak_ledger.Judge(ledger, 2.0, 2.0, 2.0, 10)._warm_ups())
+    assert list(soak_ledger.Judge(ledger, 2.0, 2.0, 2.0, 9)._warm_ups())
     ledger.arrivals["e1"] += [12.1] * 50
-    assert not list(soak_ledger.Judge(ledger, 2.0, 2.0, 2.0, 10)._not_warm())
+    assert not list(soak_ledger.Judge(ledger, 2.0, 2.0, 2.0, 10)._warm_ups())
 
 
 @pytest.mark.parametrize(
@@ -145,20 +153,20 @@
         (3.0, 13.6, 9, False),
     ],
 )
-def test_the_judgement_finds_words_that_were_not_heeded(
+def test_the_judge_reports_sends_after_a_backoff_or_departure(
     backoff_s: float, came_at: float, count: int, is_broken: bool
 ) -> None:
     ledger = soak_ledger.Ledger()
     names = ["told", *(f"r{number}" for number in range(count))]
     for name in names:
-        ledger.add(made(name, "safe", 200))
-    ledger.words.append(soak_ledger.Word("e1", "told", 10.5, backoff_s))
+        ledger.add(call_result(name, "safe", 200))
+    ledger.announcements.append(soak_ledger.Announcement("e1", "told", 10.5, backoff_s))
     came = [soak_ledger.Arrival(name, came_at) for name in names[1:]]
     ledger.requests["e1"] += came
 
     def judge() -> str:
-        return " ".join(soak_ledger.Judge(ledger, 2.0, 2.0)._words())
+        return " ".join(soak_ledger.Judge(ledger, 2.0, 2.0)._announcements())
 
     assert ("not heeded" in judge()) is is_broken
-    ledger.add(soak_ledger.Disturbance("pause", "g1", False, 10.6, 10.7))
+    ledger.add(soak_ledger.Disruption("pause", "g1", False, 10.6, 10.7))
     assert not judge()
