--- a/bench/cascade.py
+++ b/bench/cascade.py
@@ -1,17 +1,17 @@
-"""Cost at the quality target: cascades and direct choice learned from ratings.
+"""Measures what answers cost when model choice and cascades learn from ratings.
 
     python -m bench.cascade [--requests N]
 
-Drives the cascade plug-ins as an entry does, with a seeded stream of requests whose
-rating under each version is drawn beforehand, so that an oracle can choose with
-knowledge of each answer's rating.  Workspaces differ in how often the cheap version
-suffices; on the mix it suffices for 60 of 100.  The rating service gives no rating
-for a share of the answers, and none at all in the last case.
+Drives the cascade plug-ins as an entry does, with a seeded stream of requests.  The
+rating of each request's answer under each version is drawn beforehand, so that an
+oracle, which knows the ratings, gives a baseline.  Workspaces differ in how often the
+cheap version suffices; over all of them it does for 60 of 100 requests.  The rating
+service leaves a share of the answers unrated, and all of them in the last case.
 
-Printed: cost per request over the oracle's, share of answers under the target in the
-worst workspace, and what was saved of always-best's cost.
+Printed: the cost relative to the oracle's, the share of answers under the quality
+target in the worst workspace, and the share of always-best's cost that was saved.
 
-Not modelled: latency, prompts that tell how hard they are, ratings that are wrong.
+Not modelled: latency, prompts that show how difficult they are, wrong ratings.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 COSTS: typing.Final = (1.0, 10.0)
 TARGET: typing.Final = 0.8
 UNDER_TARGET: typing.Final = 0.05
-# How often the cheap and the best version's answers are good, by workspace.
+# Shares of good answers of the cheap and the best version, by workspace.
 WORKSPACES: typing.Final = {
     "easy": (0.97, 0.99),
     "middle": (0.6, 0.985),
@@ -33,11 +33,11 @@
 
 
 class Case(typing.NamedTuple):
-    """Whether requests can climb, and the share of answers that get a rating."""
+    """A case: whether requests can escalate, and the share of rated answers."""
 
     name: str
     can_escalate: bool
-    rated: float
+    rated_share: float
 
 
 CASES: typing.Final = (
@@ -48,19 +48,19 @@
 )
 
 
-class Bill:
-    """What a workspace's requests cost and how many missed the target."""
+class PolicyTotals:
+    """The number of a workspace's requests, their cost, and how many were not good."""
 
-    __slots__ = ("requests", "cost", "under")
+    __slots__ = ("requests", "cost", "not_good")
 
     def __init__(self) -> None:
         self.requests = 0
         self.cost = 0.0
-        self.under = 0
+        self.not_good = 0
 
 
 def template_of(workspace: str) -> documents.Template:
-    """Give a workspace's template."""
+    """Return the template of a workspace."""
     versions = [
         documents.VersionChoice(name, cost)
         for name, cost in zip(("cheap@1", "best@1"), COSTS)
@@ -77,7 +77,10 @@
     case: Case,
     rng: random.Random,
 ) -> tuple[float, bool]:
-    """Serve one request; give its cost and whether its answer is good."""
+    """Serve one request; return its cost and whether its answer is good.
+
+    :param good: whether the answer of each version is good.
+    """
     costs = {c.version: c.cost for c in template.versions}
     choice = cascade.choose(template, list(costs), case.can_escalate)
     assert choice is not None
@@ -85,7 +88,7 @@
     for version in choice.versions:
         cost += costs[version]
         rating = None
-        if rng.random() < case.rated:
+        if rng.random() < case.rated_share:
             rating = 1.0 if good[version] else 0.0
             cascade.learn(template, version, rating)
         last = version == choice.versions[-1]
@@ -94,25 +97,29 @@
     return cost, good[version]
 
 
-def run(policy: str, case: Case, requests: int) -> tuple[dict[str, Bill], float]:
-    """Run one policy; give the bills, and the oracle's cost."""
+def run(
+    policy: str, case: Case, requests: int
+) -> tuple[dict[str, PolicyTotals], float]:
+    """Run one policy; return the totals by workspace, and the oracle's cost."""
     rng = random.Random(5)
     cascade = plugin.find(policy_api.Cascade, policy)()
     names = list(WORKSPACES)
     templates = {name: template_of(name) for name in names}
-    bills = {name: Bill() for name in names}
-    oracle = 0.0
+    totals = {name: PolicyTotals() for name in names}
+    oracle_cost = 0.0
     for _ in range(requests):
         name = rng.choice(names)
-        chances = dict(zip(("cheap@1", "best@1"), WORKSPACES[name]))
-        good = {version: rng.random() < chance for version, chance in chances.items()}
-        oracle += COSTS[0] if good["cheap@1"] or not good["best@1"] else COSTS[1]
+        good_shares = dict(zip(("cheap@1", "best@1"), WORKSPACES[name]))
+        good = {
+            version: rng.random() < chance for version, chance in good_shares.items()
+        }
+        oracle_cost += COSTS[0] if good["cheap@1"] or not good["best@1"] else COSTS[1]
         cost, is_good = serve(cascade, templates[name], good, case, rng)
-        bill = bills[name]
-        bill.requests += 1
-        bill.cost += cost
-        bill.under += not is_good
-    return bills, oracle
+        total = totals[name]
+        total.requests += 1
+        total.cost += cost
+        total.not_good += not is_good
+    return totals, oracle_cost
 
 
 def main() -> None:
@@ -125,11 +132,11 @@
     print(head)
     for case in CASES:
         for policy in POLICIES:
-            bills, oracle = run(policy, case, args.requests)
-            cost = sum(bill.cost for bill in bills.values())
-            worst = max(bill.under / bill.requests for bill in bills.values())
+            totals, oracle_cost = run(policy, case, args.requests)
+            cost = sum(total.cost for total in totals.values())
+            worst = max(total.not_good / total.requests for total in totals.values())
             saved = 1 - cost / (args.requests * COSTS[-1])
-            figures = f"{cost / oracle:12.3f}{worst:12.3f}{saved:8.2f}"
+            figures = f"{cost / oracle_cost:12.3f}{worst:12.3f}{saved:8.2f}"
             print(f"{case.name:36}{policy:18}{figures}")
 
 
--- a/bench/clients.py
+++ b/bench/clients.py
@@ -1,4 +1,4 @@
-"""Callers for the benches: many threads over a schedule of due requests."""
+"""Callers for the benches: threads that send requests from a shared schedule."""
 
 import heapq
 import json
@@ -13,7 +13,7 @@
 
 
 class Outcome(typing.NamedTuple):
-    """One try of one caller."""
+    """The result of one request of a caller."""
 
     caller: int
     workspace: str
@@ -21,15 +21,15 @@
     first_at: float
     ended_at: float
     status: int
-    whole: bool
-    # When a refused caller was told to come back; 0 for never.
+    is_complete: bool
+    # When a refused caller may retry, by the refusal; 0 if it names no time.
     retry_at: float
     # The message of a refusal.
     detail: str = ""
 
 
 class Schedule:
-    """Requests by the time they are due; one thread hands them to the workers."""
+    """A queue of requests by due time; one thread passes them to the workers."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int]] = []
@@ -38,23 +38,23 @@
         self.due: queue.SimpleQueue[int | None] = queue.SimpleQueue()
 
     def add(self, due_at: float, caller: int) -> None:
-        """Add a caller's next try."""
+        """Schedule the next request of a caller."""
         with self._cond:
             heapq.heappush(self._heap, (due_at, caller))
             self._cond.notify()
 
     def run(self) -> None:
-        """Hand out what is due until closed."""
+        """Pass on requests as they become due, until closed."""
         with self._cond:
             while not self._closed:
-                left = self._heap[0][0] - time.time() if self._heap else None
-                if left is not None and left <= 0:
+                wait_s = self._heap[0][0] - time.time() if self._heap else None
+                if wait_s is not None and wait_s <= 0:
                     self.due.put(heapq.heappop(self._heap)[1])
                 else:
-                    self._cond.wait(left)
+                    self._cond.wait(wait_s)
 
     def close(self, workers: int) -> None:
-        """Let all workers go."""
+        """Stop passing requests on, and end all workers."""
         with self._cond:
             self._closed = True
             self._cond.notify()
@@ -62,22 +62,22 @@
             self.due.put(None)
 
 
-# Gives the address, the key, and the body of a caller's request.
-Make = typing.Callable[[int], tuple[str, str, typing.Any]]
+# Returns the address, the key, and the body of a caller's request.
+MakeRequest = typing.Callable[[int], tuple[str, str, typing.Any]]
 
 
-class Crowd:
-    """Callers who come back when they are told to.
+class CallerPool:
+    """Callers that retry at the time that a refusal names.
 
-    :param make: what a caller sends, and where.
-    :param patience_until: no try begins after this time.
+    :param make: returns what a caller sends, and where.
+    :param retry_until: no retry begins at or after this time.
     """
 
     def __init__(
-        self, make: Make, threads: int, patience_until: float, time_limit_s: float
+        self, make: MakeRequest, threads: int, retry_until: float, time_limit_s: float
     ) -> None:
         self._make = make
-        self._patience_until = patience_until
+        self._retry_until = retry_until
         self._time_limit_s = time_limit_s
         self.schedule = Schedule()
         self.outcomes: list[Outcome] = []
@@ -87,26 +87,26 @@
         ]
 
     def start(self) -> None:
-        """Let the callers begin."""
+        """Start the threads."""
         threading.Thread(target=self.schedule.run, daemon=True).start()
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Send them home; tries under way are waited for."""
+        """End the threads, after their current requests."""
         self.schedule.close(len(self._threads))
         for thread in self._threads:
             thread.join(self._time_limit_s + 5)
 
     def _work(self) -> None:
         while (caller := self.schedule.due.get()) is not None:
-            outcome = self._try(caller)
+            outcome = self._send(caller)
             self.outcomes.append(outcome)
             again = outcome.retry_at
-            if not outcome.whole and 0 < again < self._patience_until:
+            if not outcome.is_complete and 0 < again < self._retry_until:
                 self.schedule.add(again, outcome.caller)
 
-    def _try(self, caller: int) -> Outcome:
+    def _send(self, caller: int) -> Outcome:
         url, key, body = self._make(caller)
         sent_at = time.time()
         headers = {
@@ -129,8 +129,10 @@
             resp.release_conn()
         except urllib3.exceptions.HTTPError:
             return self._outcome(caller, key, sent_at, 0.0, 599, False, 0.0)
-        whole = resp.status == 200 and data.endswith(b"data: [DONE]\n\n")
-        outcome = self._outcome(caller, key, sent_at, first_at, resp.status, whole, 0.0)
+        is_complete = resp.status == 200 and data.endswith(b"data: [DONE]\n\n")
+        outcome = self._outcome(
+            caller, key, sent_at, first_at, resp.status, is_complete, 0.0
+        )
         if resp.status != 200:
             error = json.loads(data)["error"]
             return outcome._replace(
@@ -145,17 +147,24 @@
         sent_at: float,
         first_at: float,
         status: int,
-        whole: bool,
+        is_complete: bool,
         retry_at: float,
     ) -> Outcome:
         return Outcome(
-            caller, workspace, sent_at, first_at, time.time(), status, whole, retry_at
+            caller,
+            workspace,
+            sent_at,
+            first_at,
+            time.time(),
+            status,
+            is_complete,
+            retry_at,
         )
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Give a percentile; NaN when there are no values."""
+    """Return a percentile; NaN if there are no values."""
     if not values:
         return float("nan")
-    ranked = sorted(values)
-    return ranked[min(len(ranked) - 1, int(share * len(ranked)))]
+    ordered = sorted(values)
+    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,13 +1,13 @@
-"""What control costs by the number of peers, and how fast a change is in force.
+"""Measures the cost of control by number of peers, and how fast changes spread.
 
     python -m bench.control [--agents 4,24]
 
-Starts an entry with so many agents, each a process, and lets them idle: the slope of
-the entry's processor time over the number of agents is the cost of a peer.  Then
-publishes changes and measures the time until every process has them in force.  Also
-prints the bytes of the real messages.
+Starts an entry and a number of agents, each as a process, and lets them idle: the slope
+of the entry's processor time over the number of agents is the cost of a peer.  Then
+publishes changes and measures the time until they are in force in every process.  Also
+prints the size of messages.
 
-Not modelled: a network, halls, and more processes than one machine should hold.
+Not modelled: a network, halls, and more processes than one machine can run.
 """
 
 import argparse
@@ -29,12 +29,12 @@
 
 
 def size_of(value: msgspec.Struct) -> int:
-    """Give the bytes of a value on the wire."""
+    """Return the encoded size of a message in bytes."""
     return len(msgspec.msgpack.encode(value))
 
 
 def sizes() -> dict[str, int]:
-    """Give the bytes of messages with usual contents."""
+    """Return the sizes of messages with typical contents, in bytes."""
     evidence = [
         messages.Evidence("entry-17/0123456789abcdef", f"small@{n}/1", 1200, 30, 900)
         for n in range(EVIDENCE_LINES)
@@ -68,7 +68,7 @@
 
 
 def measure(agents: int, logs: pathlib.Path) -> None:
-    """Measure with so many agents."""
+    """Measure with a number of agents and print the figures."""
     with processes.Fleet(logs) as fleet:
         fleet.start_platform()
         for number in range(agents):
@@ -89,7 +89,7 @@
 
 
 def publish_and_wait(fleet: processes.Fleet, url: str, number: int) -> float:
-    """Publish a change; give the seconds until all processes have it."""
+    """Publish a change; return the seconds until all processes have it."""
     template = {**processes.demo_documents()[1][1], "priority": number % 10}
     began_at = time.time()
     fleet.publish(url, "template", template)
--- a/bench/events.py
+++ b/bench/events.py
@@ -1,4 +1,4 @@
-"""A clock of events: what is planned happens in its order, without any waiting."""
+"""A discrete-event simulation on a virtual clock."""
 
 import heapq
 import typing
@@ -7,7 +7,7 @@
 
 
 class Events:
-    """What is planned, and the clock that it moves."""
+    """A queue of events, and the clock that they advance."""
 
     def __init__(self) -> None:
         self.time = clock.ManualClock(0.0)
@@ -15,12 +15,12 @@
         self._count = 0
 
     def at(self, moment: float, act: typing.Callable[[], None]) -> None:
-        """Plan something."""
+        """Schedule a function call."""
         self._count += 1
         heapq.heappush(self._events, (moment, self._count, act))
 
     def run_until(self, end_at: float) -> None:
-        """Play what is planned up to a moment."""
+        """Run the events up to a time, in their order."""
         while self._events:
             moment, _, act = heapq.heappop(self._events)
             if moment > end_at:
--- a/bench/guard.py
+++ b/bench/guard.py
@@ -1,15 +1,15 @@
-"""A version turns bad: how many of its answers are served before it is stopped.
+"""Measures how many answers of a bad version are served before it is stopped.
 
     python -m bench.guard [--runs N]
 
-Drives the guard plug-ins with seeded streams of answers, as an entry's evidence gives
-them: judged in groups, some groups late.  For each case it prints the answers of the
-bad version that were served before the stop (mean and 95th of 100), and over good
-roll-outs the share that was stopped by mistake.  Ours beside the fixed window, which
-has a fixed share with a fixed window.
+Drives the guard plug-ins with seeded streams of answers as entries' evidence reports
+them: judged in groups, some of which are late.  Printed for each case: how many answers
+of the bad version were served before the stop (mean and 95th percentile of 100 runs),
+and how many rollouts of a good version were stopped by mistake.  The guard
+``fixed-window``, which compares a fixed share in a fixed window, is the baseline.
 
-Not modelled: processes and heartbeats (half a second between entries adds to each
-figure what arrives in that time), ratings that are wrong.
+Not modelled: processes and heartbeats (the half second between entries adds to each
+figure the answers of that time), wrong ratings.
 """
 
 import argparse
@@ -23,16 +23,16 @@
 GUARDS: typing.Final = ("sequential", "fixed-window")
 STABLE_RATE: typing.Final = 0.03
 STABLE_ANSWERS: typing.Final = 2000
-# Answers between two looks of the guard, and how many of them are judged late.
-GROUP: typing.Final = 5
+# Answers between two checks of the guard, and how many groups of them are late.
+GROUP_SIZE: typing.Final = 5
 LATE_GROUPS: typing.Final = 2
-LONG_GOOD: typing.Final = 5_000
+ANSWERS_BEFORE_BAD: typing.Final = 5_000
 GOOD_ANSWERS: typing.Final = 4_000
-MOST: typing.Final = 5_000
+MAX_SERVED: typing.Final = 5_000
 
 
 class Case(typing.NamedTuple):
-    """A version's rate of bad answers, and the good answers before it turned bad."""
+    """A version's rate of bad answers, and the answers before it turned bad."""
 
     name: str
     rate: float
@@ -43,32 +43,32 @@
     Case("bad from the first step, every answer", 1.0, 0),
     Case("bad from the first step, half of them", 0.5, 0),
     Case("bad from the first step, one in five", 0.2, 0),
-    Case("turns bad long after, half of them", 0.5, LONG_GOOD),
-    Case("turns bad long after, one in five", 0.2, LONG_GOOD),
+    Case("turns bad long after, half of them", 0.5, ANSWERS_BEFORE_BAD),
+    Case("turns bad long after, one in five", 0.2, ANSWERS_BEFORE_BAD),
 )
 
 
 def served_until_stop(
-    name: str, case: Case, rng: random.Random, most: int = MOST
+    name: str, case: Case, rng: random.Random, max_served: int = MAX_SERVED
 ) -> int | None:
-    """Give the answers served before the stop; ``None`` when there was none."""
+    """Return the answers served before the stop; ``None`` if it was not stopped."""
     guard = plugin.find(policy_api.Guard, name)()
     stable_bad = round(STABLE_ANSWERS * STABLE_RATE)
     stable = policy_api.Counts(STABLE_ANSWERS, stable_bad)
     answers = bad = 0
-    for _ in range(case.good_before // GROUP):
-        answers += GROUP
-        bad += sum(rng.random() < STABLE_RATE for _ in range(GROUP))
+    for _ in range(case.good_before // GROUP_SIZE):
+        answers += GROUP_SIZE
+        bad += sum(rng.random() < STABLE_RATE for _ in range(GROUP_SIZE))
         guard.is_bad("v/1", policy_api.Counts(answers, bad), stable)
-    waiting: list[int] = []
+    unjudged: list[int] = []
     served = 0
-    while served < most:
-        served += GROUP
-        waiting.append(sum(rng.random() < case.rate for _ in range(GROUP)))
-        if len(waiting) <= LATE_GROUPS:
+    while served < max_served:
+        served += GROUP_SIZE
+        unjudged.append(sum(rng.random() < case.rate for _ in range(GROUP_SIZE)))
+        if len(unjudged) <= LATE_GROUPS:
             continue
-        answers += GROUP
-        bad += waiting.pop(0)
+        answers += GROUP_SIZE
+        bad += unjudged.pop(0)
         if guard.is_bad("v/1", policy_api.Counts(answers, bad), stable):
             return served
     return None
@@ -89,7 +89,8 @@
         for name in GUARDS:
             rng = random.Random(7)
             served = [
-                served_until_stop(name, case, rng) or MOST for _ in range(args.runs)
+                served_until_stop(name, case, rng) or MAX_SERVED
+                for _ in range(args.runs)
             ]
             p95 = clients.percentile([float(s) for s in served], 0.95)
             row += f"{statistics.mean(served):10.1f}  p95 {p95:6.0f}"
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -1,15 +1,15 @@
-"""What endpoints get in a second as a third of them comes back empty under load.
+"""Measures the load on a third of the endpoints when they return idle under load.
 
     python -m bench.herd [--gateways 21] [--endpoints 40] [--per-s 230]
                          [--routing NAME,...] [--seeds 3] [--without slow-start]
 
-Gateways choose by the product's own modules and know each other's loads as of the last
-beat.  At 4 s a third of the endpoints goes, and five seconds later it is back, empty
-and with rows that say how long it warms up.  Printed for each way of choosing: the
-sends of all gateways to one endpoint within its worst second while it warms up, and the
-mean.
+Gateways choose endpoints with gaprock's own modules and know each other's loads as of
+the last heartbeat.  At 4 s a third of the endpoints goes away, and five seconds later
+they return, idle and with rows that say how long they warm up.  Printed for each
+routing policy: the most sends of all gateways to one endpoint within a second of its
+warm-up, and the mean.
 
-Not modelled: halls, prompts that are kept, failures, and the way between machines.
+Not modelled: halls, prefix caches, failures, and the network.
 """
 
 import argparse
@@ -38,30 +38,30 @@
 )
 
 SERVICE: typing.Final = "llm"
-RULE: typing.Final = routes.WarmUp(3.0, 18.0)
+WARM_UP: typing.Final = routes.WarmUp(3.0, 18.0)
 BEAT_S: typing.Final = 0.2
-# Rows are read this much later at most, seconds.
+# The longest delay after which a gateway reads a changed row.
 ROW_LAG_S: typing.Final = 0.8
-# Mean time of a request at an endpoint, seconds.
-WORK_S: typing.Final = 0.9
+# Mean duration of a request at an endpoint.
+MEAN_DURATION_S: typing.Final = 0.9
 GONE_AT: typing.Final = 4.0
 BACK_AT: typing.Final = 9.0
 END_AT: typing.Final = 13.0
-AWAY_SHARE: typing.Final = 3
-# Gateways that are cut off hear no beats from before the return on: one in so many.
-CUT_OFF: typing.Final = 5
+AWAY_EVERY: typing.Final = 3
+# One gateway in ``CUT_OFF_EVERY`` gets no heartbeats from shortly before the return on.
+CUT_OFF_EVERY: typing.Final = 5
 SLOTS: typing.Final = 128
 
 
 class Gateway:
-    """One gateway's decisions, with its own view of the endpoints."""
+    """A gateway's decisions, with its own view of the endpoints."""
 
     def __init__(
         self, name: str, time: clock.Clock, fleet: int, routing: str, seed: int = 0
     ) -> None:
         self.name = name
         cfg = options.Options()
-        services = {SERVICE: routes.Service(SERVICE, [], 0, RULE)}
+        services = {SERVICE: routes.Service(SERVICE, [], 0, WARM_UP)}
         self.directory = directory.Directory(
             time,
             2.0,
@@ -80,25 +80,25 @@
             lambda: services,
         )
 
-        # A play repeats: its choices are drawn from its seed.
+        # Drawn from the seed, so that a run can be repeated.
         self.chooser._rng = random.Random(f"choice {seed} {name}")
         self.directory._rng = random.Random(f"pause {seed} {name}")
 
     def send(self, call: gateway_call.Call) -> str:
-        """Choose, and count the send; give the endpoint's name, or empty for none."""
-        found = self.chooser.endpoint(call, "")
-        if found is None or self.directory.claim_send(found[0]):
+        """Choose an endpoint and count the send; return its name, empty for none."""
+        chosen = self.chooser.endpoint(call, "")
+        if chosen is None or self.directory.claim_send(chosen[0]):
             return ""
-        self.directory.begin(*found)
-        return found[0].name
+        self.directory.begin(*chosen)
+        return chosen[0].name
 
     def end(self, name: str) -> None:
-        """Take that a request at an endpoint is over."""
+        """Record the end of a request at an endpoint."""
         self.directory.end(self.directory._endpoints[name])
 
 
 class Play:
-    """One play; afterwards ``sends`` has the moments of the sends, by endpoint."""
+    """One simulation; afterwards ``sends`` has the times of sends, by endpoint."""
 
     def __init__(
         self, gateways: int, endpoints: int, per_s: float, routing: str, seed: int
@@ -110,7 +110,7 @@
             for n in range(gateways)
         ]
         self.names = [f"e{n:04}" for n in range(endpoints)]
-        self.away = self.names[: endpoints // AWAY_SHARE]
+        self.away = self.names[: endpoints // AWAY_EVERY]
         self.per_s = per_s
         self.sends: dict[str, list[float]] = collections.defaultdict(list)
         self.refused = self.asked = 0
@@ -121,25 +121,26 @@
         self._plan()
 
     def run(self) -> None:
-        """Play to the end."""
+        """Run the simulation."""
         while self._events:
             at, _, act = heapq.heappop(self._events)
             self.time.advance(max(0.0, 100.0 + at - self.time.now()))
             act()
 
     def worst(self) -> int:
-        """Give the most sends to one endpoint in a second while it warms up."""
+        """Return the most sends to one endpoint in a second while it warms up."""
         return max(
-            (spans.most_within(self._cold(n), 1.0) for n in self.away), default=0
+            (spans.most_within(self._warm_up_sends(n), 1.0) for n in self.away),
+            default=0,
         )
 
     def mean(self) -> float:
-        """Give the mean of sends a second to an endpoint while it warms up."""
-        total = sum(len(self._cold(name)) for name in self.away)
-        return total / (len(self.away) * RULE.lasts_s)
+        """Return the mean of sends a second to an endpoint while it warms up."""
+        total = sum(len(self._warm_up_sends(name)) for name in self.away)
+        return total / (len(self.away) * WARM_UP.lasts_s)
 
-    def _cold(self, name: str) -> list[float]:
-        return [t for t in self.sends[name] if BACK_AT <= t < BACK_AT + RULE.lasts_s]
+    def _warm_up_sends(self, name: str) -> list[float]:
+        return [t for t in self.sends[name] if BACK_AT <= t < BACK_AT + WARM_UP.lasts_s]
 
     def _at(self, at: float, act: typing.Callable[[], None]) -> None:
         self._count += 1
@@ -150,8 +151,8 @@
             gone_at = GONE_AT + self.rng.uniform(0.0, ROW_LAG_S)
             self._at(gone_at, functools.partial(self._drop_rows, gateway))
             back_at = BACK_AT + self.rng.uniform(0.0, ROW_LAG_S)
-            come_back = functools.partial(self._put_rows, gateway, self.away, 1)
-            self._at(back_at, come_back)
+            return_rows = functools.partial(self._put_rows, gateway, self.away, 1)
+            self._at(back_at, return_rows)
         at = 0.0
         while at < END_AT:
             self._at(at, self._beat)
@@ -159,10 +160,10 @@
         at = 0.0
         while at < END_AT:
             at += self.rng.expovariate(self.per_s)
-            self._at(at, functools.partial(self._ask, at))
+            self._at(at, functools.partial(self._arrive, at))
 
     def _put_rows(self, gateway: Gateway, names: list[str], born: int) -> None:
-        warming_s = RULE.lasts_s if born else 0.0
+        warming_s = WARM_UP.lasts_s if born else 0.0
         for name in names:
             row = gateway_api.EndpointRow(
                 SERVICE, name, 1, "h1", "v1", SLOTS, False, born, warming_s
@@ -174,25 +175,25 @@
             gateway.directory.update(name, None)
 
     def _beat(self) -> None:
-        told = [gateway.directory.own_loads() for gateway in self.gateways]
+        loads_by_gateway = [gateway.directory.own_loads() for gateway in self.gateways]
         total: dict[str, int] = collections.Counter()
-        for loads in told:
-            for life, load in loads.items():
-                total[life] += load.running
+        for loads in loads_by_gateway:
+            for incarnation, load in loads.items():
+                total[incarnation] += load.running
         cut_off = self.time.now() >= 100.0 + BACK_AT - 1.0
         for number, gateway in enumerate(self.gateways):
-            if cut_off and number % CUT_OFF == 0:
+            if cut_off and number % CUT_OFF_EVERY == 0:
                 continue
-            own = told[number]
+            own = loads_by_gateway[number]
             others = {
-                life: endpoint_state.Load(
-                    count - (own[life].running if life in own else 0), 0.0
+                incarnation: endpoint_state.Load(
+                    count - (own[incarnation].running if incarnation in own else 0), 0.0
                 )
-                for life, count in total.items()
+                for incarnation, count in total.items()
             }
             gateway.directory.apply_peer_loads("others", others)
 
-    def _ask(self, now: float) -> None:
+    def _arrive(self, now: float) -> None:
         gateway = self.rng.choice(self.gateways)
         self.asked += 1
         name = gateway.send(call(self.asked, self.time.now()))
@@ -200,14 +201,14 @@
             self.refused += 1
             return
         self.sends[name].append(now)
-        ends_at = now + self.rng.expovariate(1 / WORK_S)
+        ends_at = now + self.rng.expovariate(1 / MEAN_DURATION_S)
         is_lost = name in self.away and now < BACK_AT
         if not is_lost:
             self._at(ends_at, lambda: gateway.end(name))
 
 
 def call(number: int, now: float) -> gateway_call.Call:
-    """Make a call of its own session."""
+    """Return a call that is its own session."""
     route = routes.Route(
         "r",
         "h",
@@ -231,7 +232,7 @@
 
 
 def main() -> None:
-    """Play, and print what endpoints got."""
+    """Run the simulations and print the sends to endpoints."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--gateways", type=int, default=21)
     parser.add_argument("--endpoints", type=int, default=40)
--- a/bench/marks.py
+++ b/bench/marks.py
@@ -1,4 +1,7 @@
-"""What a request's mark and its look-up cost: ``python -m bench.marks``."""
+"""Measures the cost of request fingerprints and of the quarantine's look-ups.
+
+    python -m bench.marks
+"""
 
 import argparse
 import timeit
@@ -11,28 +14,28 @@
 
 
 def best_us(work: typing.Callable[[], object], number: int) -> float:
-    """Give the shortest mean time of a call, microseconds."""
+    """Return the shortest mean time of a call, in microseconds."""
     return min(timeit.repeat(work, number=number, repeat=REPEATS)) / number * 1e6
 
 
 def main() -> None:
-    """Print the figures."""
+    """Measure and print."""
     parser = argparse.ArgumentParser("marks", description=__doc__)
     parser.parse_args()
     for size in SIZES:
         body = b"x" * size
-        took = best_us(
+        duration_us = best_us(
             lambda: request_fingerprint.fingerprint_of("ws", "host", "/path/x", body),
             50 if size > 10_000 else 5_000,
         )
-        print(f"mark of a body of {size} bytes: {took:.1f} us")
+        print(f"mark of a body of {size} bytes: {duration_us:.1f} us")
     empty = quarantine.Quarantine(clock.SteadyClock())
     print(
         f"asked while nothing is known: {best_us(lambda: empty.is_empty, 20000):.3f} us"
     )
     full = quarantine.Quarantine(clock.SteadyClock())
-    for mark in range(quarantine.MAX_MARKS):
-        full.note(mark, "a", quarantine.OPEN_WEIGHT)
+    for fingerprint in range(quarantine.MAX_MARKS):
+        full.note(fingerprint, "a", quarantine.OPEN_WEIGHT)
     number = quarantine.MAX_MARKS
     print(
         f"looked up among {number}: {best_us(lambda: full.held_for_s(7), 20000):.3f} us"
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,16 +1,15 @@
-"""The cost of the path: added time, processor time and memory, from one run.
+"""Measures the overhead of entry and agent: added time, processor time and memory.
 
     python -m bench.path
 
-One entry and agents before stand-in engines, each a process, on loopback.  Processor
-time is what the operating system charged to the process.  Prints
+One entry, and agents with stand-in engines, each a process, on loopback.  Processor
+time is that which the operating system accounts to the process.  Prints
 
-* the added time of a whole answer against calling the same stand-in directly, with
-  one caller and half loaded;
+* the added time of a complete answer, compared with calling the same stand-in directly,
+  with one caller and half loaded;
 * processor time per request and per streamed part, in entry and agent;
 * memory per open stream;
-* what control costs while nothing is asked for: processor time, memory, and bytes
-  on the wire for each daemon.
+* the cost of control without requests: processor time and memory of each daemon.
 
 Not modelled: a network, TLS, engines whose parts differ in size.
 """
@@ -48,25 +47,25 @@
         self._began = self.cpu_s()
 
     def cpu_s(self) -> float:
-        """Give the processor time so far, seconds."""
+        """Return the processor time so far, in seconds."""
         times = self._process.cpu_times()
         return float(times.user + times.system)
 
     def used_s(self) -> float:
-        """Give the processor time since the last call."""
+        """Return the processor time since the last call, in seconds."""
         now = self.cpu_s()
         used, self._began = now - self._began, now
         return used
 
     def memory_mb(self) -> float:
-        """Give the resident memory, MB."""
+        """Return the resident memory, in MB."""
         return float(self._process.memory_info().rss) / 1e6
 
 
 def call_many(
     send: typing.Callable[[], object], callers: int, calls: int
 ) -> list[float]:
-    """Make calls from several threads; give the seconds of each."""
+    """Make calls from several threads; return the duration of each in seconds."""
     times: list[float] = []
 
     def work() -> None:
@@ -89,7 +88,7 @@
 
 
 def added_time(url: str, engine: str) -> None:
-    """Compare a whole answer through the path with a direct call."""
+    """Compare complete answers through entry and agent with direct calls."""
     body = {**processes.chat(), "model": "small@1"}
 
     def through() -> None:
@@ -100,15 +99,17 @@
 
     for callers, label in ((1, "one caller"), (LOADED_CALLERS, "half loaded")):
         call_many(through, callers, 50)
-        plain = call_many(direct, callers, WHOLE_CALLS)
+        direct_times = call_many(direct, callers, WHOLE_CALLS)
         path = call_many(through, callers, WHOLE_CALLS)
         for share, point in ((0.5, "p50"), (0.99, "p99")):
-            extra = clients.percentile(path, share) - clients.percentile(plain, share)
-            show(f"added time, {label}, {point}", extra * 1000, "ms")
+            added_s = clients.percentile(path, share) - clients.percentile(
+                direct_times, share
+            )
+            show(f"added time, {label}, {point}", added_s * 1000, "ms")
 
 
 def cost_per_request(fleet: processes.Fleet, url: str) -> None:
-    """Measure processor time of whole answers."""
+    """Measure the processor time of complete answers."""
     meters = {name: Meter(fleet, name) for name in ("entry-0", *ENGINES)}
     body = processes.chat()
     began_at = time.time()
@@ -123,7 +124,7 @@
 
 
 def read_stream(url: str, parts: int) -> int:
-    """Read one stream; give its bytes."""
+    """Read one stream; return its size in bytes."""
     body = processes.chat(stream=True, max_tokens=parts)
     resp = processes.post(url, processes.CHAT, body, stream=True)
     size = 0
@@ -137,14 +138,14 @@
 
 
 def cost_per_part(
-    fleet: processes.Fleet, url: str, label: str, streams: int, each: int
+    fleet: processes.Fleet, url: str, label: str, streams: int, parts_each: int
 ) -> None:
-    """Measure processor time of streamed parts."""
+    """Measure the processor time of streamed parts."""
     meters = {name: Meter(fleet, name) for name in ("entry-0", *ENGINES)}
     began_at = time.time()
-    call_many(lambda: read_stream(url, each), streams, streams)
+    call_many(lambda: read_stream(url, parts_each), streams, streams)
     took_s = time.time() - began_at
-    parts = streams * each
+    parts = streams * parts_each
     used = {name: meter.used_s() for name, meter in meters.items()}
     agents = sum(used[name] for name in ENGINES)
     show(f"parts a second, {label}", parts / took_s, "1/s")
@@ -156,7 +157,7 @@
 
 
 def memory_per_stream(fleet: processes.Fleet, url: str) -> None:
-    """Measure the memory of open streams whose callers take nothing."""
+    """Measure the memory of open streams whose callers do not read."""
     meters = {name: Meter(fleet, name) for name in ("entry-0", *ENGINES)}
     before = {name: meter.memory_mb() for name, meter in meters.items()}
     body = processes.chat(stream=True, max_tokens=3000)
@@ -175,7 +176,7 @@
 
 
 def cost_of_control(fleet: processes.Fleet) -> None:
-    """Measure what the daemons spend while nothing is asked for."""
+    """Measure the processor time and memory of the daemons without requests."""
     meters = {name: Meter(fleet, name) for name in ("entry-0", "a")}
     time.sleep(IDLE_S)
     for name, meter in meters.items():
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,17 +1,18 @@
-"""Placing, climbing and refusing under load, played without a network.
+"""Simulates the choice of endpoints and models under load, without a network.
 
     python -m bench.placing [--site NAME] [--seed N] [--plays N] [--load X]
                             [--without NAME,...] [--plot FILE]
 
-Callers come in bursts at gateways of several halls, which choose endpoints and models
-by the product's own modules and know of each other only what beats tell, late.  Engines
-read prompts one after another, which slows the streams beside them, and have so many
-places.  Time is virtual and everything is drawn from the seed: a play takes seconds.
+Callers send bursts of requests to gateways of several halls.  The gateways choose
+endpoints and models with gaprock's own modules, and know of each other only what
+delayed heartbeats report.  Engines prefill prompts one after another, which slows their
+running streams, and have a limited number of slots.  Time is virtual and everything is
+drawn from the seed, so a run takes seconds.
 
-Printed, by kind of request and for its largest tenth: the share that was answered well
-in time, by a model that was too small, late, and not at all.
+Printed, for all requests, for each kind of request and for its largest tenth: the share
+that was answered well and in time, by too small a model, and late, and the mean cost.
 
-Not modelled: failures, processor time, the way between machines beyond a millisecond.
+Not modelled: failures, processor time, the network but for a millisecond of transit.
 """
 
 import argparse
@@ -23,7 +24,7 @@
 
 
 class Summary(typing.NamedTuple):
-    """Shares of a group of requests, and the mean cost of one."""
+    """Shares of a group of requests by outcome, and the mean cost of a request."""
 
     requests: int
     in_time: float
@@ -33,7 +34,7 @@
 
 
 def summarize(outcomes: typing.Iterable[placing_player.Outcome]) -> Summary:
-    """Sum outcomes up."""
+    """Return the summary of outcomes."""
     found = list(outcomes)
     ends = collections.Counter(outcome.end for outcome in found)
     count = max(1, len(found))
@@ -47,7 +48,7 @@
 
 
 def by_group(outcomes: list[placing_player.Outcome]) -> dict[str, Summary]:
-    """Sum outcomes up by kind, and for the largest tenth of each."""
+    """Return summaries of all, of each kind, and of its largest tenth."""
     groups = {"all": summarize(outcomes)}
     for kind in sorted({outcome.kind for outcome in outcomes}):
         own = sorted((o for o in outcomes if o.kind == kind), key=lambda o: -o.size)
@@ -57,7 +58,10 @@
 
 
 def plot(groups: dict[str, Summary], path: str) -> None:
-    """Draw the shares of each group."""
+    """Plot the shares of each group.
+
+    :param path: the file to write.
+    """
     # The plotting library takes a second to import.
     import matplotlib.pyplot
 
@@ -74,11 +78,11 @@
 
 
 def main() -> None:
-    """Play, and print what callers got."""
+    """Run the simulations and print the summaries."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--site", choices=sorted(placing_player.SITES), default="quick")
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
-    parser.add_argument("--plays", type=int, default=1, help="seeds that are played")
+    parser.add_argument("--plays", type=int, default=1, help="number of seeds to run")
     parser.add_argument("--load", type=float, default=1.0)
     parser.add_argument("--without", default="")
     parser.add_argument("--plot", default="")
--- a/bench/placing_player.py
+++ b/bench/placing_player.py
@@ -1,4 +1,4 @@
-"""The player of ``bench.placing``: engines, gateways and callers on a virtual clock."""
+"""The simulation of ``bench.placing``: engines, gateways and callers."""
 
 import collections
 import heapq
@@ -27,31 +27,31 @@
 )
 
 SERVICE: typing.Final = "llm"
-# Models by name, with the price of a token and the share of requests that they do well.
+# Models: the name, the cost of a token, and the share of requests that it answers well.
 MODELS: typing.Final = (
     ("small", 0.05, 0.6),
     ("middle", 0.3, 0.75),
     ("large", 1.0, 0.97),
 )
-# Between gateways of a hall, and between halls, seconds.
+# Pauses between heartbeats within a hall and between halls, and the time in transit.
 BEAT_S: typing.Final = 0.2
 HALL_BEAT_S: typing.Final = 1.0
-WAY_S: typing.Final = 0.001
-# Share of its pace that a stream loses while its engine reads a prompt piece by piece.
-SLOWED: typing.Final = 0.9
-# Where the prompts' sizes are cut, in means.
-LONGEST: typing.Final = 8.0
+TRANSIT_S: typing.Final = 0.001
+# Share of its rate that a stream loses while its engine prefills another prompt.
+DECODE_SLOWDOWN: typing.Final = 0.9
+# The largest size of a prompt, as a multiple of the mean.
+MAX_SIZE: typing.Final = 8.0
 
 
 class Kind(typing.NamedTuple):
     """A kind of request.
 
-    :param share: of all requests.
-    :param tokens: mean length of the prompt, the shared part included.
-    :param spread: of the logarithm of the length.
-    :param shared: length of the part that requests of a subject share.
-    :param subjects: how many there are.
-    :param run_s: time that the answer's events take without any pause, seconds.
+    :param share: the share of all requests.
+    :param tokens: the mean length of the prompt, with the shared prefix.
+    :param spread: the standard deviation of the logarithm of the length.
+    :param shared: the length of the prefix that requests of a subject share.
+    :param subjects: the number of subjects.
+    :param run_s: the time that the answer's events take if no prefill slows them.
     """
 
     name: str
@@ -68,9 +68,11 @@
 class Site(typing.NamedTuple):
     """The machines and the load.
 
-    :param tokens_per_s: that an engine reads, of the largest model.
+    :param gateways: the number in each hall.
+    :param engines: the number in each hall.
+    :param tokens_per_s: the prefill rate of an engine for the largest model.
     :param per_s: requests a second at a load of 1.
-    :param burst: when it begins and ends, seconds, and how many times the load it is.
+    :param burst: when it begins and ends, in seconds, and its multiple of the load.
     """
 
     halls: int
@@ -85,7 +87,7 @@
     seconds: float = 12.0
 
 
-# Many quick engines with few requests each.
+# Many fast engines with few requests each.
 QUICK: typing.Final = Site(
     3,
     3,
@@ -100,7 +102,7 @@
         Kind("tag", 0.53, 2_300, 0.8, 500, 200, 0.1, 1.5, 1.2),
     ),
 )
-# Few slow engines where a long prompt holds up many.
+# Few slow engines, where a long prompt delays many requests.
 SLOW: typing.Final = Site(
     3,
     1,
@@ -119,10 +121,10 @@
 
 
 class Outcome(typing.NamedTuple):
-    """What a caller got.
+    """The outcome of a caller's request.
 
-    :param end: ``in time``, ``too small``, ``late`` or ``unserved``.
-    :param size: of the prompt against the mean of its kind.
+    :param end: ``in time``, ``too small`` (a model) or ``late``.
+    :param size: the length of the prompt relative to the mean of its kind.
     """
 
     kind: str
@@ -132,7 +134,7 @@
 
 
 class Engine:
-    """One engine: a queue of prompts to read, and the streams that run."""
+    """An engine: a queue of prompts to prefill, and the running streams."""
 
     def __init__(self, player: "Player", name: str, hall: str) -> None:
         site = player.site
@@ -141,58 +143,58 @@
         )
         self.name = name
         self._player = player
-        self._waiting: collections.deque[Send] = collections.deque()
-        self._is_reading = False
+        self._queue: collections.deque[Send] = collections.deque()
+        self._is_prefilling = False
         self._cache = prefix_cache.PrefixCache()
         self.running: set[Send] = set()
 
     def take(self, send: "Send") -> None:
-        """Take a request."""
-        self._waiting.append(send)
-        self._read_next()
+        """Queue a request."""
+        self._queue.append(send)
+        self._start_prefill()
 
     def leave(self, send: "Send") -> None:
-        """Drop a request."""
+        """Remove a running request."""
         self.running.discard(send)
-        self._read_next()
+        self._start_prefill()
 
-    def _read_next(self) -> None:
-        if self._is_reading or not self._waiting:
+    def _start_prefill(self) -> None:
+        if self._is_prefilling or not self._queue:
             return
         if len(self.running) >= self._player.site.slots:
             return
-        send = self._waiting.popleft()
+        send = self._queue.popleft()
         hashes = send.attempt.prompt.hashes
         tokens = max(0, send.job.tokens - self._cache.cached(hashes))
         weight = dict((name, cost) for name, cost, _ in MODELS)[send.model]
         seconds = weight * tokens / self._player.site.tokens_per_s + 0.005
         self._cache.use(hashes, self._player.site.memory)
-        self._is_reading = True
+        self._is_prefilling = True
         for other in self.running:
             other.slow(seconds)
-        self._player.after(seconds, lambda: self._read(send))
+        self._player.after(seconds, lambda: self._finish_prefill(send))
 
-    def _read(self, send: "Send") -> None:
-        self._is_reading = False
+    def _finish_prefill(self, send: "Send") -> None:
+        self._is_prefilling = False
         self.running.add(send)
-        send.begun()
-        self._read_next()
+        send.handle_first_event()
+        self._start_prefill()
 
 
 class Job:
-    """One caller's request."""
+    """A caller's request."""
 
     def __init__(
         self, player: "Player", kind: Kind, gateway: "Gateway", number: int
     ) -> None:
-        # Of its own, so that the same callers come whatever is decided.
+        # A generator for each request, so that decisions do not change later requests.
         self.rng = rng = random.Random(f"{player.seed}/{number}")
-        own = max(1, kind.tokens - kind.shared)
-        size = min(LONGEST, rng.lognormvariate(-(kind.spread**2) / 2, kind.spread))
+        own_tokens = max(1, kind.tokens - kind.shared)
+        size = min(MAX_SIZE, rng.lognormvariate(-(kind.spread**2) / 2, kind.spread))
         self.player, self.kind, self.gateway = player, kind, gateway
-        self.tokens = kind.shared + int(own * size)
+        self.tokens = kind.shared + int(own_tokens * size)
         self.size = self.tokens / kind.tokens
-        self.hardness = rng.random()
+        self.difficulty = rng.random()
         self.cost = 0.0
         subject = f"{kind.name}{rng.randrange(kind.subjects)}"
         parts = [(subject, kind.shared), (f"{number}", self.tokens - kind.shared)]
@@ -218,29 +220,29 @@
         self.call = gateway_call.Call(inbound, info, route, None, 1, SERVICE)
 
     def start(self) -> None:
-        """Choose the first model, and send."""
+        """Choose the first model and send the request."""
         self.send(self.gateway.models.first(self.call))
 
     def send(self, model: str) -> None:
-        """Send to the endpoint that the gateway chooses."""
+        """Send the request to the endpoint that the gateway chooses."""
         chosen = self.gateway.chooser.endpoint(self.call, model)
         assert chosen is not None
         Send(self, model, *chosen)
 
     def end(self, send: "Send") -> None:
-        """Note what the caller got."""
+        """Record the outcome."""
         first_s = self.call.first_write_at - self.call.inbound.arrived_at
-        skill = dict((name, share) for name, _, share in MODELS)[send.model]
+        good_share = dict((name, share) for name, _, share in MODELS)[send.model]
         end = "in time"
         if first_s > self.kind.goal_s:
             end = "late"
-        elif self.hardness > skill:
+        elif self.difficulty > good_share:
             end = "too small"
         self.player.outcomes.append(Outcome(self.kind.name, end, self.size, self.cost))
 
 
 class Send:
-    """One send of a job, from its choice to its end."""
+    """An attempt of a job, from the choice of its endpoint to its end."""
 
     def __init__(
         self,
@@ -253,7 +255,7 @@
         player, gateway = job.player, job.gateway
         self._player = player
         self.engine = player.engines[endpoint.name]
-        # The exchange is the engine's: closing it drops the request there.
+        # In place of an exchange: closing it removes the request from the engine.
         self.attempt: gateway_attempt.Attempt = gateway_attempt.Attempt(
             endpoint, model, typing.cast(typing.Any, self), prompt
         )
@@ -263,10 +265,10 @@
         job.call.sends += 1
         job.cost += dict((name, cost) for name, cost, _ in MODELS)[model] * job.tokens
         self._ends_at = 0.0
-        player.after(WAY_S, lambda: self.engine.take(self))
+        player.after(TRANSIT_S, lambda: self.engine.take(self))
 
-    def begun(self) -> None:
-        """The first event is there: keep the answer, or ask a larger model."""
+    def handle_first_event(self) -> None:
+        """Handle the first event: accept the answer or ask a larger model."""
         job, gateway = self.job, self.job.gateway
         self.attempt.head = self._head()
         self.attempt.record_prefilled(gateway.directory)
@@ -279,27 +281,30 @@
             return
         job.call.record_write(self._player.time.now())
         self._ends_at = self._player.time.now() + job.kind.run_s
-        self._player.after(job.kind.run_s, self._look)
+        self._player.after(job.kind.run_s, self._end_if_due)
 
     def slow(self, seconds: float) -> None:
-        """Make few events for a while, since the engine reads between them."""
-        self._ends_at += SLOWED * seconds
+        """Delay the end, since the engine prefills a prompt between events.
 
-    def _look(self) -> None:
+        :param seconds: the duration of the prefill.
+        """
+        self._ends_at += DECODE_SLOWDOWN * seconds
+
+    def _end_if_due(self) -> None:
         now = self._player.time.now()
         if now < self._ends_at - 1e-6:
-            self._player.after(self._ends_at - now, self._look)
+            self._player.after(self._ends_at - now, self._end_if_due)
             return
         self.attempt.finish(self.job.gateway.directory)
         self.job.end(self)
 
     def close(self) -> None:
-        """Leave the engine."""
+        """Remove the request from the engine."""
         self.engine.leave(self)
 
     def _head(self) -> gateway_api.AnswerHead:
-        skill = dict((name, share) for name, _, share in MODELS)[self.model]
-        is_right = self.job.hardness <= skill
+        good_share = dict((name, share) for name, _, share in MODELS)[self.model]
+        is_right = self.job.difficulty <= good_share
         rng = self.job.rng
         confidence = rng.uniform(0.0, 55.0)
         if is_right:
@@ -310,7 +315,7 @@
 
 
 class Gateway:
-    """One gateway's decisions, with its own view of the endpoints."""
+    """A gateway's decisions, with its own view of the endpoints."""
 
     def __init__(self, player: "Player", name: str, hall: str) -> None:
         self.name, self.hall = name, hall
@@ -339,11 +344,13 @@
             self.budget,
             lambda: services,
         )
-        self._told = 0
+        self._prompts_reported = 0
 
-    def tell(self, others: list["Gateway"]) -> None:
-        """Tell the own hall what we have where, and what was read for us."""
-        self._told, prompts = self.directory.prompts_since(self._told)
+    def gossip(self, others: list["Gateway"]) -> None:
+        """Report the own loads and prefilled prompts to other gateways of the hall."""
+        self._prompts_reported, prompts = self.directory.prompts_since(
+            self._prompts_reported
+        )
         loads = self.directory.own_loads()
         for other in others:
             other.directory.apply_peer_loads(self.name, loads)
@@ -351,9 +358,9 @@
 
 
 class Player:
-    """A play: the site, its virtual time, and what the callers got.
+    """A simulation: the site, its virtual time, and the outcomes of requests.
 
-    :param load: times the site's usual load.
+    :param load: multiple of the site's usual load.
     """
 
     def __init__(self, site: Site, seed: int, load: float = 1.0) -> None:
@@ -374,17 +381,17 @@
         ]
 
     def after(self, seconds: float, call: typing.Callable[[], None]) -> None:
-        """Have something happen later."""
+        """Schedule a function call."""
         at = self.time.now() + seconds
         heapq.heappush(self._events, (at, next(self.numbers), call))
 
     def run(self) -> list[Outcome]:
-        """Play until every request has its end."""
+        """Run until every request has ended, and return the outcomes."""
         self._end_at = self.time.now() + self.site.seconds
-        self._began = self.time.now()
+        self._began_at = self.time.now()
         self._arrive()
-        self._beat()
-        self._beat_halls()
+        self._send_heartbeats()
+        self._send_summaries()
         while self._events:
             at, _, call = heapq.heappop(self._events)
             self.time.advance(at - self.time.now())
@@ -402,23 +409,23 @@
         gateway = self.rng.choice(self.gateways)
         gateway.budget.record_first(SERVICE, self.time.now())
         Job(self, kind, gateway, next(self._jobs)).start()
-        since, until, times = self.site.burst
-        passed = self.time.now() - self._began
+        since, until, factor = self.site.burst
+        elapsed_s = self.time.now() - self._began_at
         per_s = self.site.per_s * self._load
-        if since <= passed < until:
-            per_s *= times
+        if since <= elapsed_s < until:
+            per_s *= factor
         self.after(self.rng.expovariate(per_s), self._arrive)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for gateway in self.gateways:
             others = [
                 g for g in self.gateways if g.hall == gateway.hall and g is not gateway
             ]
-            gateway.tell(others)
+            gateway.gossip(others)
         if not self._is_over():
-            self.after(BEAT_S, self._beat)
+            self.after(BEAT_S, self._send_heartbeats)
 
-    def _beat_halls(self) -> None:
+    def _send_summaries(self) -> None:
         for hall in sorted({g.hall for g in self.gateways}):
             near = [g for g in self.gateways if g.hall == hall]
             loads = mesh_halls.sum_loads(g.directory.own_loads() for g in near)
@@ -428,4 +435,4 @@
                         mesh_halls.source_name(hall), loads
                     )
         if not self._is_over():
-            self.after(HALL_BEAT_S, self._beat_halls)
+            self.after(HALL_BEAT_S, self._send_summaries)
--- a/bench/restores.py
+++ b/bench/restores.py
@@ -1,15 +1,16 @@
-"""What a restore of the store costs: calls, copies, and time until all know it.
+"""Measures the cost of a restore of the store: calls, copies between gateways, time.
 
     python -m bench.restores [--gateways 3,21,300] [--reads-per-s 2000]
 
-Gateways in three halls follow three tables of a store, one of them with ten endpoints
-a gateway.  The store is restored from a backup and all polls end.  Printed: calls from
-then on until every gateway has all tables of the new epoch, and for a second after it;
-how many the store's rate limit refused; seconds until the first, the middle and the
-last gateway has them; bytes of copies between gateways, in all and from the busiest.
+Gateways in three halls follow three tables of a store; one of them has ten endpoints
+for each gateway.  The store is restored from a backup and all long polls end.  Printed:
+the time until the first, the median and the last gateway has all tables of the new
+epoch; the calls until then, how many of them the store's rate limit refused, and the
+calls in the second after; the size of copies between gateways, in all and from the
+gateway that sent most.
 
-The talk is the real mesh's on a clock of its own; a call is answered at once, and a
-reading of a large table takes a call for each 500 rows.
+Gossip is the real mesh's, on a virtual clock.  The store answers calls at once, and a
+read of a large table takes a call for each 500 rows.
 """
 
 import argparse
@@ -33,17 +34,17 @@
 
 HALLS: typing.Final = 3
 SETTLED_S: typing.Final = 6.0
-LONGEST_S: typing.Final = 30.0
+MAX_WAIT_S: typing.Final = 30.0
 AFTER_S: typing.Final = 1.0
 PAGE_ROWS: typing.Final = 500
-# Within which changes have to be in force, by table, seconds.
-BOUNDS_S: typing.Final = (7.0, 2.0, 5.0)
-# A row of an endpoint, bytes.
+# The time within which changes must be in force, by table.
+IN_FORCE_S: typing.Final = (7.0, 2.0, 5.0)
+# The contents of an endpoint's row.
 ROW: typing.Final = b"x" * 160
 
 
 class Store(gateway_api.SharedStore):
-    """A store of three tables that counts its calls."""
+    """A store of three tables that counts calls and limits their rate."""
 
     __slots__ = (
         "_clock",
@@ -82,7 +83,7 @@
 
 
 class Reader:
-    """A gateway's followers, moved by hand as their threads would."""
+    """A gateway's followers, stepped by the simulation instead of their threads."""
 
     def __init__(self, member: fleetcase.Member, store: Store) -> None:
         self._time = member.mesh._clock
@@ -104,21 +105,21 @@
                 ),
                 epochs=self.epochs,
             )
-            for number, bound in enumerate(BOUNDS_S)
+            for number, bound in enumerate(IN_FORCE_S)
         ]
         self._mesh.source = row_exchange.RowExchange(
             self.tables, self._time, self.epochs
         )
         self._pauses = [followers.FIRST_PAUSE_S] * len(self.tables)
-        self._until = [0.0] * len(self.tables)
-        # Whether the poll of each table has ended.
-        self.cut = [False] * len(self.tables)
+        self._retry_at = [0.0] * len(self.tables)
+        # Whether the long poll of each table was ended.
+        self.poll_ended = [False] * len(self.tables)
         self._rng = random.Random(member.name)
 
     def step(self) -> None:
-        """Make the calls that are due."""
+        """Make the calls to the store that are due."""
         for number, follower in enumerate(self.tables):
-            if self._time.now() < self._until[number]:
+            if self._time.now() < self._retry_at[number]:
                 continue
             try:
                 self._step(number, follower)
@@ -128,19 +129,21 @@
             except gateway_api.StoreError as exc:
                 follower._record_disconnect(exc)
                 pause_s = self._pauses[number] * self._rng.uniform(0.5, 1.0)
-                self._until[number] = self._time.now() + pause_s
-                longer = 2 * self._pauses[number]
-                self._pauses[number] = min(followers.LONGEST_PAUSE_S, longer)
+                self._retry_at[number] = self._time.now() + pause_s
+                next_pause_s = 2 * self._pauses[number]
+                self._pauses[number] = min(followers.LONGEST_PAUSE_S, next_pause_s)
 
     def _step(self, number: int, follower: followers.Follower) -> None:
-        rests = follower._is_read and follower.connected and self._mesh.has_readers()
-        follower._set_standby(rests)
-        is_due = self.cut[number] and not rests
-        if not follower._is_read or follower._is_outdated and not rests:
+        on_standby = (
+            follower._is_read and follower.connected and self._mesh.has_readers()
+        )
+        follower._set_standby(on_standby)
+        is_due = self.poll_ended[number] and not on_standby
+        if not follower._is_read or follower._is_outdated and not on_standby:
             self._call(follower._read)
-            self.cut[number] = False
+            self.poll_ended[number] = False
         elif not follower.connected or follower.fresh.is_check_due or is_due:
-            self.cut[number] = False
+            self.poll_ended[number] = False
             self._call(lambda: follower._ask(follower.version))
 
     def _call(self, call: typing.Callable[[], object]) -> None:
@@ -149,7 +152,7 @@
 
     @property
     def epoch(self) -> int:
-        """The epoch that all tables have."""
+        """The lowest epoch of the tables."""
         return min(follower.epoch for follower in self.tables)
 
 
@@ -169,19 +172,22 @@
         super().send(sender, address, data)
 
     def follow(self, seconds: float, epoch: int = -1) -> list[float]:
-        """Let time pass; give when each gateway had an epoch, until all have."""
-        began, had = self.time.now(), dict[int, float]()
-        while self.time.now() < began + seconds and len(had) < len(self.readers):
+        """Let time pass until all gateways have reached an epoch.
+
+        :return: the seconds after which each one had reached it, sorted.
+        """
+        began, reached_at = self.time.now(), dict[int, float]()
+        while self.time.now() < began + seconds and len(reached_at) < len(self.readers):
             self.run(fleetcase.STEP_S)
             for number, reader in enumerate(self.readers):
                 reader.step()
-                if number not in had and reader.epoch >= epoch >= 0:
-                    had[number] = self.time.now() - began
-        return sorted(had.values())
+                if number not in reached_at and reader.epoch >= epoch >= 0:
+                    reached_at[number] = self.time.now() - began
+        return sorted(reached_at.values())
 
 
 def play(gateways: int, per_s: int) -> str:
-    """Restore the store of so many gateways, and say what it cost."""
+    """Restore the store of a number of gateways and return the figures."""
     fleet = Fleet(gateways, 1_000_000)
     fleet.follow(SETTLED_S)
     fleet.store._per_s = per_s
@@ -189,23 +195,23 @@
     fleet.copied.clear()
     fleet.store.epoch += 1
     for reader in fleet.readers:
-        reader.cut = [True] * len(reader.tables)
-    times = fleet.follow(LONGEST_S, fleet.store.epoch)
+        reader.poll_ended = [True] * len(reader.tables)
+    times = fleet.follow(MAX_WAIT_S, fleet.store.epoch)
     calls, refused = fleet.store.calls - before, fleet.store.refused
     fleet.follow(AFTER_S)
     after = fleet.store.calls - before - calls
     sizes = sorted(fleet.copied.values()) or [0]
-    middle = times[len(times) // 2] if times else LONGEST_S
+    median = times[len(times) // 2] if times else MAX_WAIT_S
     return (
         f"{gateways:4} gateways, {len(times)} have it after {times[0]:.1f}, "
-        f"{middle:.1f}, {times[-1]:.1f} s; calls {calls} ({refused} refused), "
+        f"{median:.1f}, {times[-1]:.1f} s; calls {calls} ({refused} refused), "
         f"{after} in the second after; copies {sum(sizes) / 1e6:.2f} MB, "
         f"busiest {sizes[-1] / 1e6:.2f} MB"
     )
 
 
 def main() -> None:
-    """Play and print."""
+    """Run the simulations and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--gateways", default="3,21,300")
     parser.add_argument("--reads-per-s", type=int, default=2000)
--- a/bench/rows.py
+++ b/bench/rows.py
@@ -1,10 +1,11 @@
-"""How long a gateway takes to decode the rows of all endpoints at a start.
+"""Measures how long a starting gateway takes to decode the rows of all endpoints.
 
     python -m bench.rows [--endpoints N]
 
-The best of many rounds is printed, since whatever else the machine does adds to it.
-600 rows took 1.04 ms before rows of other writers were told apart, and 1.33 ms with it:
-the address is checked, and three fields have bounds or names.
+The best of many rounds is printed, since other load on the machine only adds to it.
+Decoding 600 rows took 1.04 ms without the checks that recognize rows of other writers,
+and takes 1.33 ms with them: the address is checked, and three fields have bounds or a
+fixed set of values.
 """
 
 import argparse
@@ -19,7 +20,7 @@
 
 
 def row(number: int) -> bytes:
-    """Write a row as an endpoint does."""
+    """Return an encoded row, as an endpoint writes it."""
     doc = {
         "Service": "llm",
         "Addr": f"10.128.{number // 250}.{number % 250}:8080",
@@ -35,7 +36,7 @@
 
 
 def main() -> None:
-    """Decode the rows again and again, and print the best time."""
+    """Decode the rows repeatedly and print the best time."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--endpoints", type=int, default=600)
     args = parser.parse_args()
--- a/bench/rush.py
+++ b/bench/rush.py
@@ -1,16 +1,16 @@
-"""Everyone at the same minute: admission and routing under three times the capacity.
+"""Measures admission and routing when three times the capacity arrives at once.
 
     python -m bench.rush [--policies ours,random,least-reported]
 
-Real entries and agents as processes before stand-in engines, on loopback.  A crowd
-of three times the capacity arrives within seconds and comes back when it is told
-to.  Load reports lag by a second; one engine turns slow, one dies.
+Real entries and agents run as processes, with stand-in engines, on loopback.  Callers
+of three times the capacity arrive within seconds; refused ones retry when the refusal
+says.  Load reports lag by a second; one engine becomes slow, one is killed.
 
-An answer is useful when it is whole, its first part came within 1.5 s and it ended
-before its deadline.  Useful answers are counted over a window in which more callers
-wait than can be served, against what the engines that live could serve.
+An answer is useful if it is complete, its first part came within 1.5 s and it ended
+before its deadline.  Useful answers are counted over a time window in which more
+callers wait than can be served, relative to the capacity of the engines that run.
 
-Not modelled: a network between halls, engines that batch, prompts of unlike length.
+Not modelled: a network between halls, batching engines, prompts of unequal length.
 """
 
 import argparse
@@ -38,11 +38,11 @@
 FIRST_PART_S: typing.Final = 1.5
 TIME_LIMIT_S: typing.Final = 4.0
 THREADS: typing.Final = 500
-# The small workspace sends this share of the requests.
+# The small workspace's share of the requests.
 SMALL_SHARE: typing.Final = 0.1
 LARGE, SMALL = "large-key", "small-key"
 
-# The settings of entries and agents, by the name of the policy.
+# Flags of entries and of agents, by the name of the policy.
 POLICIES: typing.Final = {
     "ours": (["--routing", "two-choices"], ["--admission", "adaptive"]),
     "random": (
@@ -74,7 +74,7 @@
 
 
 def measure_service(url: str) -> float:
-    """Give the seconds of one answer without load."""
+    """Return the duration of an answer without load, in seconds."""
     times = []
     for _ in range(6):
         began_at = time.time()
@@ -85,7 +85,7 @@
 
 
 def capacity_between(start_s: float, end_s: float, service_s: float) -> float:
-    """Give the answers that the live engines could serve between two times."""
+    """Return how many answers the engines could serve between two times."""
     rate = SLOTS / service_s
     healthy = max(0.0, len(ENGINES) - 2) * (end_s - start_s)
     until_slow = max(0.0, min(end_s, SLOW_AT_S) - start_s)
@@ -95,13 +95,13 @@
 
 
 def is_useful(outcome: clients.Outcome) -> bool:
-    """Whether an answer was whole and in time."""
-    quick = outcome.first_at - outcome.sent_at <= FIRST_PART_S
-    return outcome.whole and quick
+    """Whether an answer was complete and its first part in time."""
+    is_first_in_time = outcome.first_at - outcome.sent_at <= FIRST_PART_S
+    return outcome.is_complete and is_first_in_time
 
 
 def run(name: str, seed: int, logs: pathlib.Path) -> dict[str, float]:
-    """Run one policy; give its figures."""
+    """Run one policy and return its figures."""
     entry_flags, agent_flags = POLICIES[name]
     with processes.Fleet(logs) as fleet:
         fleet.start_platform()
@@ -128,7 +128,7 @@
 def rush(
     fleet: processes.Fleet, urls: list[str], service_s: float, seed: int
 ) -> dict[str, float]:
-    """Let everyone arrive, with the faults at their times."""
+    """Start the callers, inject the faults, and return the figures."""
     rng = random.Random(seed)
     rate = len(ENGINES) * SLOTS / service_s
     callers = int(TIMES_CAPACITY * rate * RUSH_S)
@@ -138,30 +138,30 @@
     def make(caller: int) -> tuple[str, str, typing.Any]:
         return urls[caller % len(urls)], keys[caller], processes.chat(stream=True)
 
-    crowd = clients.Crowd(make, THREADS, began_at + END_S, TIME_LIMIT_S)
+    pool = clients.CallerPool(make, THREADS, began_at + END_S, TIME_LIMIT_S)
     for caller in range(callers):
-        crowd.schedule.add(began_at + rng.random() * RUSH_S, caller)
-    crowd.start()
+        pool.schedule.add(began_at + rng.random() * RUSH_S, caller)
+    pool.start()
     time.sleep(max(0.0, began_at + SLOW_AT_S - time.time()))
     fleet.faults("engine-c", slow=SLOW_FACTOR)
     time.sleep(max(0.0, began_at + DEAD_AT_S - time.time()))
     fleet.kill("engine-d")
     time.sleep(max(0.0, began_at + END_S - time.time()))
-    crowd.stop()
-    return figures_of(crowd.outcomes, began_at, service_s, callers)
+    pool.stop()
+    return figures_of(pool.outcomes, began_at, service_s, callers)
 
 
 def figures_of(
     outcomes: list[clients.Outcome], began_at: float, service_s: float, callers: int
 ) -> dict[str, float]:
-    """Work out a run's figures."""
+    """Compute the figures of a run."""
     start_s, end_s = WINDOW
     useful = [o for o in outcomes if is_useful(o)]
     inside = [o for o in useful if start_s <= o.ended_at - began_at < end_s]
     capacity = capacity_between(start_s, end_s, service_s)
-    first = [o.first_at - o.sent_at for o in outcomes if o.whole]
+    first = [o.first_at - o.sent_at for o in outcomes if o.is_complete]
     refusals = [o.ended_at - o.sent_at for o in outcomes if o.status == 503]
-    small = [o.first_at - o.sent_at for o in outcomes if o.whole and is_small(o)]
+    small = [o.first_at - o.sent_at for o in outcomes if o.is_complete and is_small(o)]
     served = {o.caller for o in useful}
     small_tries = [o for o in outcomes if is_small(o)]
     return {
@@ -178,17 +178,17 @@
         "small_first_p95_s": clients.percentile(small, 0.95),
         "small_useful_tries": sum(map(is_useful, small_tries)) / len(small_tries),
         "cut_or_failed": sum(o.status in (200, 502, 504, 599) for o in outcomes)
-        - sum(o.whole for o in outcomes),
+        - sum(o.is_complete for o in outcomes),
     }
 
 
 def is_small(outcome: clients.Outcome) -> bool:
-    """Whether a try is the small workspace's."""
+    """Whether a request was the small workspace's."""
     return outcome.workspace == SMALL
 
 
 def show(results: dict[str, dict[str, float]]) -> None:
-    """Print the policies beside each other."""
+    """Print the figures of the policies side by side."""
     names = list(results)
     print(f"{'':22}" + "".join(f"{name:>16}" for name in names))
     for key in results[names[0]]:
--- a/bench/shed.py
+++ b/bench/shed.py
@@ -1,24 +1,25 @@
-"""What callers get while endpoints shed load, by who heeds a backoff.
+"""Compares strategies for endpoints that shed load and ask for a backoff.
 
     python -m bench.shed [--endpoints 3,9,40] [--gateways 1,3,21,68] [--loads 0.8,1.2,2]
                          [--backoff 3] [--way none,own,told,all]
 
-Endpoints run as many requests as they have slots and turn others away, asking for a
-backoff.  Callers come at half of what all bear, then for some seconds at the load that
-is played, then at half again; one that is refused comes back once, as it is told.  A
-gateway knows its own requests and, a beat late, those of all others.
+Endpoints run as many requests as they have slots and refuse others, asking for a
+backoff.  Requests arrive at half of the total capacity, then for some seconds at the
+given load, then at half again; a refused caller retries once, at the time that the
+refusal says.  A gateway knows its own requests and, one heartbeat late, those of all
+others.
 
-* ``none``: backoffs are not heeded;
-* ``own``: the product's way, the gateway that was turned away heeds it;
-* ``told``: the others learn of it and choose such an endpoint last;
-* ``all``: the others send nothing there either.
+* ``none``: gateways ignore backoffs;
+* ``own``: as in gaprock, the gateway that was refused honors the backoff;
+* ``told``: the others learn of it and choose that endpoint last;
+* ``all``: the others do not send there either.
 
-Printed for the seconds of the load: requests served of what all bear, refused within
-50 ms and later, sends for each that was served, sends that reached an endpoint in a
-backoff that it had asked the sender for; and how long after the load's fall callers are
-still refused.
+Printed for the time of the given load: requests served relative to the capacity,
+requests refused within 50 ms and later, sends for each request served, and sends that
+reached an endpoint in a backoff that it had asked the sender for.  Also printed: how
+long callers are still refused after the load has fallen.
 
-Not modelled: models, prompts, sessions, and answers that are late.
+Not modelled: models, prompts, sessions, and late answers.
 """
 
 import argparse
@@ -31,27 +32,30 @@
 
 SERVICE: typing.Final = "s"
 SLOTS: typing.Final = 8
-# A run lasts so long, and a refusal takes so long, seconds.
+# Shortest and longest duration of a request, and the duration of a refusal.
 RUN_S: typing.Final = (0.2, 0.6)
 REFUSAL_S: typing.Final = 0.002
 BEAT_S: typing.Final = 0.2
-# The load begins and ends, and so does the play.
+# When the given load begins and ends, and when the simulation ends.
 LOAD_AT: typing.Final = 3.0
 CALM_AT: typing.Final = 11.0
 END_AT: typing.Final = 20.0
 CALM_LOAD: typing.Final = 0.5
-# Sends of a request, and for how long it may wait for a turn, seconds.
+# Most sends of a request, and the longest time that it may wait for a send.
 ATTEMPTS: typing.Final = 3
 WAIT_S: typing.Final = 0.9
 AT_ONCE_S: typing.Final = 0.05
-LOOK_S: typing.Final = 0.03
-# What was on its way when the refusal came, seconds.
-ON_WAY_S: typing.Final = 0.5
-WAYS: typing.Final = ("none", "own", "told", "all")
+RECHECK_S: typing.Final = 0.03
+# Sends this soon after a refusal may have been in transit and do not count.
+IN_TRANSIT_S: typing.Final = 0.5
+STRATEGIES: typing.Final = ("none", "own", "told", "all")
 
 
 class Endpoint:
-    """An endpoint, and who was asked to send nothing until when."""
+    """An endpoint.
+
+    ``asked`` holds, by gateway, when the endpoint asked for a backoff, and its end.
+    """
 
     __slots__ = ("name", "running", "asked")
 
@@ -62,29 +66,32 @@
 
 
 class Request:
-    """A caller's request."""
+    """A caller's request.
+
+    :param is_retry: whether it is a retry after a refusal.
+    """
 
-    __slots__ = ("came_at", "sends", "is_back", "excluded")
+    __slots__ = ("arrived_at", "sends", "is_retry", "excluded")
 
-    def __init__(self, came_at: float, is_back: bool) -> None:
-        self.came_at = came_at
+    def __init__(self, arrived_at: float, is_retry: bool) -> None:
+        self.arrived_at = arrived_at
         self.sends = 0
-        self.is_back = is_back
+        self.is_retry = is_retry
         self.excluded: set[str] = set()
 
 
 class Gateway:
-    """One gateway with what it knows."""
+    """A gateway with its view of the endpoints."""
 
-    __slots__ = ("number", "directory", "known", "told_until")
+    __slots__ = ("number", "directory", "known", "peer_backoff")
 
     def __init__(self, number: int, play: "Play") -> None:
         self.number = number
         self.directory = directory.Directory(play.time, 2.0)
         rng = random.Random(f"{play.seed} {number}")
         self.directory.notices.backoffs._rng = rng
-        # Until when others were asked to send nothing, by endpoint.
-        self.told_until: dict[str, float] = {}
+        # The end of the backoff that peers reported, by endpoint.
+        self.peer_backoff: dict[str, float] = {}
         row = gateway_api.EndpointRow(
             SERVICE, "10.0.0.1", 1, "h", "v1", SLOTS, False, 1
         )
@@ -94,50 +101,50 @@
 
 
 class Play(events.Events):
-    """One play; afterwards its counts are there."""
+    """One simulation; afterwards it has the counts."""
 
     def __init__(
         self,
         endpoints: int,
         gateways: int,
         load: float,
-        way: str,
+        strategy: str,
         backoff_s: float = 3.0,
         seed: int = 0,
     ) -> None:
         super().__init__()
         self.load = load
-        self.way = way
+        self.strategy = strategy
         self.backoff_s = backoff_s
         self.seed = seed
         self.rng = random.Random(seed)
         self.endpoints = {f"e{n}": Endpoint(f"e{n}") for n in range(endpoints)}
         self.gateways = [Gateway(n, self) for n in range(gateways)]
-        self.bears_per_s = endpoints * SLOTS / (sum(RUN_S) / 2)
+        self.capacity_per_s = endpoints * SLOTS / (sum(RUN_S) / 2)
         self.served = self.sends = self.at_once = self.late = self.unheeded = 0
         self.last_refusal = 0.0
 
     def run(self) -> None:
-        """Play to the end."""
-        self.at(0.0, self._ask)
-        self.at(0.0, self._tell)
+        """Run the simulation."""
+        self.at(0.0, self._generate_request)
+        self.at(0.0, self._gossip)
         self.run_until(END_AT)
 
-    # -- What comes out --
+    # -- Results --
 
     @property
     def use(self) -> float:
-        """Requests that were served while the load lasted, of what all bear."""
-        return self.served / (self.bears_per_s * (CALM_AT - LOAD_AT))
+        """Requests served during the given load, relative to the capacity."""
+        return self.served / (self.capacity_per_s * (CALM_AT - LOAD_AT))
 
     @property
     def sends_each(self) -> float:
-        """Sends for each request that was served while the load lasted."""
+        """Sends for each request served during the given load."""
         return self.sends / max(1, self.served)
 
     @property
     def recovers_s(self) -> float:
-        """How long after the load's fall callers are still refused, seconds."""
+        """How long callers are still refused after the load has fallen."""
         return max(0.0, self.last_refusal - CALM_AT)
 
     @property
@@ -146,23 +153,23 @@
 
     # -- Requests --
 
-    def _ask(self) -> None:
+    def _generate_request(self) -> None:
         now = self.time.now()
         load = self.load if LOAD_AT <= now < CALM_AT else CALM_LOAD
-        self._come(Request(now, False))
-        pause_s = self.rng.expovariate(load * self.bears_per_s)
-        self.at(now + pause_s, self._ask)
+        self._submit(Request(now, False))
+        pause_s = self.rng.expovariate(load * self.capacity_per_s)
+        self.at(now + pause_s, self._generate_request)
 
-    def _come(self, request: Request) -> None:
+    def _submit(self, request: Request) -> None:
         self._send(self.rng.choice(self.gateways), request)
 
-    def _tell(self) -> None:
+    def _gossip(self) -> None:
         running = {e.name: e.running for e in self.endpoints.values()}
         for gateway in self.gateways:
             for known in gateway.known:
                 others = max(0, running[known.name] - known.running)
                 known.others["all"] = endpoint_state.Load(others, 0)
-        self.at(self.time.now() + BEAT_S, self._tell)
+        self.at(self.time.now() + BEAT_S, self._gossip)
 
     def _send(self, gateway: Gateway, request: Request) -> None:
         now = self.time.now()
@@ -171,47 +178,49 @@
             turn = self._next_at(gateway)
             if turn is None and request.excluded and request.sends < ATTEMPTS:
                 request.excluded.clear()
-                turn = now + LOOK_S
-            if turn is None or turn > request.came_at + WAIT_S:
+                turn = now + RECHECK_S
+            if turn is None or turn > request.arrived_at + WAIT_S:
                 self._refuse(gateway, request, turn)
             else:
-                again_at = max(now + LOOK_S, turn)
+                again_at = max(now + RECHECK_S, turn)
                 self.at(again_at, functools.partial(self._send, gateway, request))
             return
         chosen.running += 1
         if gateway.directory.claim_send(chosen):
             chosen.running -= 1
-            self.at(now + LOOK_S, functools.partial(self._send, gateway, request))
+            self.at(now + RECHECK_S, functools.partial(self._send, gateway, request))
             return
         self._arrive(gateway, request, chosen)
 
     def _choose(
         self, gateway: Gateway, request: Request
     ) -> endpoint_state.Endpoint | None:
-        """Choose the emptiest endpoint, as far as is known."""
+        """Choose the endpoint with the lowest known load; ``None`` if there is none."""
         usable = gateway.directory.usable(SERVICE, request.excluded)
-        if self.way == "all":
-            usable = [e for e in usable if not self._is_told(gateway, e)]
+        if self.strategy == "all":
+            usable = [e for e in usable if not self._has_peer_backoff(gateway, e)]
         if not usable:
             return None
         return min(
             usable,
             key=lambda e: (
-                self.way == "told" and self._is_told(gateway, e),
+                self.strategy == "told" and self._has_peer_backoff(gateway, e),
                 e.load,
                 self.rng.random(),
             ),
         )
 
-    def _is_told(self, gateway: Gateway, endpoint: endpoint_state.Endpoint) -> bool:
-        return self.time.now() < gateway.told_until.get(endpoint.name, 0.0)
+    def _has_peer_backoff(
+        self, gateway: Gateway, endpoint: endpoint_state.Endpoint
+    ) -> bool:
+        return self.time.now() < gateway.peer_backoff.get(endpoint.name, 0.0)
 
     def _next_at(self, gateway: Gateway) -> float | None:
-        """Give when a gateway's next send is due; ``None`` if that is now."""
+        """Return when a gateway may send next; ``None`` if it may now."""
         turns = [turn for _, turn in gateway.directory.turns(SERVICE, set())]
         next_at = min((turn.next_at for turn in turns), default=0.0)
-        if self.way == "all":
-            next_at = max(next_at, min(gateway.told_until.values(), default=0.0))
+        if self.strategy == "all":
+            next_at = max(next_at, min(gateway.peer_backoff.values(), default=0.0))
         return next_at if next_at > self.time.now() else None
 
     def _arrive(
@@ -221,7 +230,7 @@
         request.sends += 1
         self.sends += self._is_counted
         asked_at, until = endpoint.asked.get(gateway.number, (0.0, 0.0))
-        self.unheeded += asked_at + ON_WAY_S < now < until
+        self.unheeded += asked_at + IN_TRANSIT_S < now < until
         is_run = endpoint.running < SLOTS
         endpoint.running += is_run
         if not is_run:
@@ -247,63 +256,64 @@
             self.served += self._is_counted
             backoffs.note_answer(known, sent_at)
             return
-        if self.way == "none":
+        if self.strategy == "none":
             request.excluded.add(known.incarnation)
         else:
             backoffs.note_refusal(known, self.backoff_s, sent_at)
-            self._spread(gateway, known.name)
+            self._report_backoff(gateway, known.name)
         known.running -= 1
         if request.sends < ATTEMPTS:
             self._send(gateway, request)
         else:
             self._refuse(gateway, request, self._next_at(gateway))
 
-    def _spread(self, gateway: Gateway, name: str) -> None:
-        """Have the others hear of a backoff, a beat later."""
-        if self.way in ("told", "all"):
+    def _report_backoff(self, gateway: Gateway, name: str) -> None:
+        """Report a backoff to the other gateways, one heartbeat later."""
+        if self.strategy in ("told", "all"):
             until = self.time.now() + self.backoff_s
-            told = functools.partial(self._hear, gateway, name, until)
-            self.at(self.time.now() + BEAT_S, told)
+            report = functools.partial(self._learn_backoff, gateway, name, until)
+            self.at(self.time.now() + BEAT_S, report)
 
-    def _hear(self, teller: Gateway, name: str, until: float) -> None:
+    def _learn_backoff(self, sender: Gateway, name: str, until: float) -> None:
         for gateway in self.gateways:
-            if gateway is not teller:
-                known = gateway.told_until.get(name, 0.0)
-                gateway.told_until[name] = max(known, until)
+            if gateway is not sender:
+                known = gateway.peer_backoff.get(name, 0.0)
+                gateway.peer_backoff[name] = max(known, until)
 
     def _refuse(
         self, gateway: Gateway, request: Request, next_at: float | None
     ) -> None:
         now = self.time.now()
         if self._is_counted:
-            is_at_once = now <= request.came_at + AT_ONCE_S
-            self.at_once += is_at_once
-            self.late += not is_at_once
+            is_immediate = now <= request.arrived_at + AT_ONCE_S
+            self.at_once += is_immediate
+            self.late += not is_immediate
         self.last_refusal = now
-        if request.is_back:
+        if request.is_retry:
             return
-        back_at = max(now + 0.15, next_at or now) + self.rng.uniform(0.0, 1.0)
-        self.at(min(back_at, now + 2.0), lambda: self._come(Request(back_at, True)))
+        retry_at = max(now + 0.15, next_at or now) + self.rng.uniform(0.0, 1.0)
+        self.at(min(retry_at, now + 2.0), lambda: self._submit(Request(retry_at, True)))
 
 
 def main() -> None:
-    """Print a line for each play."""
+    """Run the simulations and print a line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--endpoints", default="3,9,40")
     parser.add_argument("--gateways", default="1,3,21,68")
     parser.add_argument("--loads", default="0.8,1.2,2")
     parser.add_argument("--backoff", type=float, default=3.0)
-    parser.add_argument("--way", default=",".join(WAYS))
+    parser.add_argument("--way", default=",".join(STRATEGIES))
     args = parser.parse_args()
     print("ends gates load way    used at-once late  sends/served unheeded recovers")
     for endpoints in map(int, args.endpoints.split(",")):
         for gateways in map(int, args.gateways.split(",")):
             for load in map(float, args.loads.split(",")):
-                for way in args.way.split(","):
-                    play = Play(endpoints, gateways, load, way, args.backoff)
+                for strategy in args.way.split(","):
+                    play = Play(endpoints, gateways, load, strategy, args.backoff)
                     play.run()
                     print(
-                        f"{endpoints:4} {gateways:5} {load:4} {way:5} {play.use:6.2f} "
+                        f"{endpoints:4} {gateways:5} {load:4} {strategy:5} "
+                        f"{play.use:6.2f} "
                         f"{play.at_once:7} {play.late:4} {play.sends_each:13.2f} "
                         f"{play.unheeded:8} {play.recovers_s:8.1f}",
                         flush=True,
--- a/bench/spans.py
+++ b/bench/spans.py
@@ -1,10 +1,13 @@
-"""Counts moments within spans of time."""
+"""Counts events within time spans."""
 
 import typing
 
 
 def most_within(moments: typing.Iterable[float], span_s: float) -> int:
-    """Give the most moments within any span."""
+    """Return the largest number of events within any span.
+
+    :param moments: the times of the events.
+    """
     ordered = sorted(moments)
     most = first = 0
     for last, moment in enumerate(ordered):
