--- a/bench/events.py
+++ b/bench/events.py
@@ -14,16 +14,16 @@
         self._events: list[tuple[float, int, typing.Callable[[], None]]] = []
         self._count = 0
 
-    def at(self, moment: float, act: typing.Callable[[], None]) -> None:
+    def at(self, due_at: float, action: typing.Callable[[], None]) -> None:
         """Schedule a function call."""
         self._count += 1
-        heapq.heappush(self._events, (moment, self._count, act))
+        heapq.heappush(self._events, (due_at, self._count, action))
 
     def run_until(self, end_at: float) -> None:
         """Run the events up to a time, in their order."""
         while self._events:
-            moment, _, act = heapq.heappop(self._events)
-            if moment > end_at:
+            due_at, _, action = heapq.heappop(self._events)
+            if due_at > end_at:
                 return
-            self.time.advance(max(0.0, moment - self.time.now()))
-            act()
+            self.time.advance(max(0.0, due_at - self.time.now()))
+            action()
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -123,9 +123,9 @@
     def run(self) -> None:
         """Run the simulation."""
         while self._events:
-            at, _, act = heapq.heappop(self._events)
+            at, _, action = heapq.heappop(self._events)
             self.time.advance(max(0.0, 100.0 + at - self.time.now()))
-            act()
+            action()
 
     def worst(self) -> int:
         """Return the most sends to one endpoint in a second while it warms up."""
@@ -142,9 +142,9 @@
     def _warm_up_sends(self, name: str) -> list[float]:
         return [t for t in self.sends[name] if BACK_AT <= t < BACK_AT + WARM_UP.lasts_s]
 
-    def _at(self, at: float, act: typing.Callable[[], None]) -> None:
+    def _at(self, at: float, action: typing.Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._events, (at, self._count, act))
+        heapq.heappush(self._events, (at, self._count, action))
 
     def _plan(self) -> None:
         for gateway in self.gateways:
@@ -155,7 +155,7 @@
             self._at(back_at, return_rows)
         at = 0.0
         while at < END_AT:
-            self._at(at, self._beat)
+            self._at(at, self._exchange_loads)
             at += BEAT_S
         at = 0.0
         while at < END_AT:
@@ -174,7 +174,7 @@
         for name in self.away:
             gateway.directory.update(name, None)
 
-    def _beat(self) -> None:
+    def _exchange_loads(self) -> None:
         loads_by_gateway = [gateway.directory.own_loads() for gateway in self.gateways]
         total: dict[str, int] = collections.Counter()
         for loads in loads_by_gateway:
--- a/bench/placing_player.py
+++ b/bench/placing_player.py
@@ -148,12 +148,12 @@
         self._cache = prefix_cache.PrefixCache()
         self.running: set[Send] = set()
 
-    def take(self, send: "Send") -> None:
+    def enqueue(self, send: "Send") -> None:
         """Queue a request."""
         self._queue.append(send)
         self._start_prefill()
 
-    def leave(self, send: "Send") -> None:
+    def remove(self, send: "Send") -> None:
         """Remove a running request."""
         self.running.discard(send)
         self._start_prefill()
@@ -265,7 +265,7 @@
         job.call.sends += 1
         job.cost += dict((name, cost) for name, cost, _ in MODELS)[model] * job.tokens
         self._ends_at = 0.0
-        player.after(TRANSIT_S, lambda: self.engine.take(self))
+        player.after(TRANSIT_S, lambda: self.engine.enqueue(self))
 
     def handle_first_event(self) -> None:
         """Handle the first event: accept the answer or ask a larger model."""
@@ -300,7 +300,7 @@
 
     def close(self) -> None:
         """Remove the request from the engine."""
-        self.engine.leave(self)
+        self.engine.remove(self)
 
     def _head(self) -> gateway_api.AnswerHead:
         good_share = dict((name, share) for name, _, share in MODELS)[self.model]
--- a/bench/spans.py
+++ b/bench/spans.py
@@ -3,15 +3,15 @@
 import typing
 
 
-def most_within(moments: typing.Iterable[float], span_s: float) -> int:
+def most_within(times: typing.Iterable[float], span_s: float) -> int:
     """Return the largest number of events within any span.
 
-    :param moments: the times of the events.
+    :param times: the times of the events.
     """
-    ordered = sorted(moments)
+    ordered = sorted(times)
     most = first = 0
-    for last, moment in enumerate(ordered):
-        while ordered[first] <= moment - span_s:
+    for last, time in enumerate(ordered):
+        while ordered[first] <= time - span_s:
             first += 1
         most = max(most, last - first + 1)
     return most
