--- a/gaprock/test/testdocs.py
+++ b/gaprock/test/testdocs.py
@@ -1,5 +1,7 @@
 """Generated pages, proofs, result codes, log quoting and the list of known failures."""
 
+import re
+
 import pytest
 
 from gaprock import errorcodes, eventlog
@@ -21,6 +23,16 @@
             assert edit.old in text, f"{proof.mechanism}: {edit.file}"
 
 
+def test_each_proof_names_a_test_that_exists() -> None:
+    """A proof of a test that was renamed ends with an error instead of a verdict."""
+    for proof in proofs_gateway.ALL:
+        # A proof may name a whole module; a class of tests is a name of the module.
+        file, *names = proof.test.partition("[")[0].split("::")
+        text = (write_pages.ROOT / "gaprock" / "test" / file).read_text()
+        for name in names:
+            assert re.search(rf"^ *(def {name}\(|class {name}\b|{name} = )", text, re.M)
+
+
 def test_every_code_is_in_the_range_of_its_category() -> None:
     for number, code in errorcodes.by_number.items():
         assert errorcodes.category_of(number) is code.category
