--- a/gaprock/test/testrestoredrollouts.py
+++ b/gaprock/test/testrestoredrollouts.py
@@ -271,7 +271,7 @@
         found = gateway_api.Page(rows, store.version, 0.0, store.epoch)
         member.rows.apply_page(found, whole=True)
 
-    def _all_step(self) -> None:
+    def _step_all(self) -> None:
         self.clock.advance(testtakeover.STEP_S)
         for which, member in enumerate(self.members):
             self._hear(which)
@@ -287,7 +287,7 @@
             self._hear(0)
 
     @stateful.rule(which=testtakeover.MEMBERS)
-    def row_comes(self, which: int) -> None:
+    def row_arrives(self, which: int) -> None:
         self._hear(which)
 
     def killed(self, which: int) -> None:
