--- a/gaprock/agent_gate.py
+++ b/gaprock/agent_gate.py
@@ -336,7 +336,7 @@
             weight=weight,
         )
         return msgspec.structs.replace(
-            end, ended_incarnation=incarnation, weight=weight
+            end, ended_incarnation=incarnation, suspicion_weight=weight
         )
 
     def _finish_run(
